--- a/packages/control/include/redwinggw/control/gathered_rates.hpp
+++ b/packages/control/include/redwinggw/control/centralized_buckets.hpp
@@ -38,42 +38,43 @@
 /// Works out which instance keeps each customer's bucket, if rates are gathered
 /// at all. Call it after each divideRates with the same arguments; it replaces
 /// the parts that were divided.
-void gatherRates(demand_shares &Shares, const membership &Membership,
-                 bool InTouch, base::instant Now);
+void centralizeBuckets(demand_shares &Shares, const membership &Membership,
+                       bool InContact, base::instant Now);
 
 /// Whether this instance has gathered rates for long enough that there may have
 /// been keepers; the others have to know.
-bool hasGathered(const demand_shares &Shares, base::instant Now);
+bool hasCentralizedBuckets(const demand_shares &Shares, base::instant Now);
 
 /// Whether \p Customer's bucket stands at one instance.
-bool isGathered(const demand_shares &Shares, std::string_view Customer);
+bool isCentralized(const demand_shares &Shares, std::string_view Customer);
 
 /// The member that keeps the bucket of \p Customer; null when it is this
 /// instance or nobody.
-const member *rateKeeper(const demand_shares &Shares,
-                         const membership &Membership,
-                         std::string_view Customer);
+const member *bucketOwner(const demand_shares &Shares,
+                          const membership &Membership,
+                          std::string_view Customer);
 
 /// After so long another keeper has usually been drawn in place of one that is
 /// gone.
-constexpr base::milliseconds NextKeeperWithin{900};
+constexpr base::milliseconds NextOwnerWithin{900};
 
 /// What a keeper answers to a request for one operation.
-struct keeper_answer {
-  bool Given = false;
-  /// Given: how long to wait first. Otherwise: when there is a token.
+struct bucket_owner_answer {
+  bool Granted = false;
+  /// Granted: how long to wait first. Otherwise: when there is a token.
   base::microseconds Wait{0};
 };
 
 /// Takes a token out of the bucket that this instance keeps, for an operation
-/// elsewhere of \p Priority that can wait \p Patience. Nothing when it does not
+/// elsewhere of \p Priority that can wait \p MaxWait. Nothing when it does not
 /// keep the bucket of \p Customer.
-std::optional<keeper_answer>
-giveToken(demand_shares &Shares, std::string_view Customer, unsigned Priority,
-          base::microseconds Patience, base::instant Now);
+std::optional<bucket_owner_answer>
+grantToken(demand_shares &Shares, std::string_view Customer, unsigned Priority,
+           base::microseconds MaxWait, base::instant Now);
 
 /// The verdict on an operation for which the keeper gave an answer.
-demand_verdict verdictOf(demand_shares &Shares, std::string_view Customer,
-                         const keeper_answer &Answer);
+demand_verdict verdictFromOwner(demand_shares &Shares,
+                                std::string_view Customer,
+                                const bucket_owner_answer &Answer);
 
 } // namespace redwinggw::control
--- a/packages/control/include/redwinggw/control/demand_shares.hpp
+++ b/packages/control/include/redwinggw/control/demand_shares.hpp
@@ -55,43 +55,43 @@
   /// operators allow.
   double RateSlack = 1.05;
   double ExtraTokens = 14;
-  /// Part of an equal share that an instance has without any demand, for the
+  /// Share of an equal share that an instance has without any demand, for the
   /// first statements.
-  double IdlePart = 0.1;
+  double IdleShare = 0.1;
   /// A part that holds fewer operations than this serves badly what arrives by
   /// chance, at once or not at all: half is refused at a part of one. There the
-  /// fleet's demand decides while it is below CalmShare of the rate. A flood
-  /// shows in the others' heartbeats after about 0.4 s; at eight times the
-  /// usual demand it takes 1.9 times the rate by then, which the burst and the
-  /// operators' tolerance cover.
-  double LeastDepth = 3;
-  double CalmShare = 0.8;
+  /// fleet's demand decides while it is below LowDemandFraction of the rate. A
+  /// flood shows in the others' heartbeats after about 0.4 s; at eight times
+  /// the usual demand it takes 1.9 times the rate by then, which the burst and
+  /// the operators' tolerance cover.
+  double MinDepth = 3;
+  double LowDemandFraction = 0.8;
   /// What was admitted there without a token is owed, up to so many tokens, and
   /// paid back if the customer turns out to be over its rate.
-  double MostOwed = 2;
-  /// Part of a bucket that operations leave to those of the next higher
+  double MaxDebt = 2;
+  /// Share of a bucket that operations leave to those of the next higher
   /// priority: a customer over its rate is served what it has declared to
   /// matter most. Below the rate nothing is reserved: it would only turn
   /// chance arrivals away.
   double ReservePerPriority = 0.15;
-  double MostReserved = 0.45;
+  double MaxReserved = 0.45;
   /// An instance is silent, and its part stays as it is, from here on: three
   /// heartbeats.
-  base::milliseconds HeardFor{650};
+  base::milliseconds FreshFor{650};
   /// What an instance lends leaves it tokens for so long.
-  base::milliseconds KeptFor{50};
+  base::milliseconds ReserveTime{50};
   /// Of a silent instance's part so much stays reserved after this time.
-  base::milliseconds SilentAfter{3000};
+  base::milliseconds LongSilentAfter{3000};
   double SilentReserve = 0.75;
   /// Of the whole rate no more than this is taken over from silent instances: a
   /// large part is that of another side of a partition, which goes on.
-  double MostTakenOver = 0.04;
+  double MaxTakenOver = 0.04;
   /// By then a new instance has heard the others, if it can: five heartbeats.
   base::milliseconds FirstHeartbeats{1000};
   /// A new instance that hears no majority serves the idle part only, for so
   /// long at most: longer than rows of dead instances stay listed, and not for
   /// ever where more than half of the listed are gone for good.
-  base::milliseconds StrangerFor{10000};
+  base::milliseconds MaxStartupTime{10000};
   /// Out of touch for so long, an instance admits half of its part.
   base::milliseconds IsolatedAfter{1500};
 };
@@ -114,47 +114,47 @@
   /// Room beyond the bucket's depth for borrowed tokens, until the next
   /// division: where a customer's callers have just come, the bucket is flat,
   /// and what was borrowed for them would run over.
-  double LoanRoom = 0;
+  double TransferRoom = 0;
   base::instant FilledAt;
-  /// Part of the rate that is admitted here.
-  double Part = 0;
+  /// Share of the rate that is admitted here.
+  double Share = 0;
   /// Parts that silent sources had when they were heard last, by name.
-  std::map<std::string, double, std::less<>> SilentParts;
+  std::map<std::string, double, std::less<>> SilentShares;
   /// Sums to pass on: of the instances that report here, and of all with this
   /// one.
   source_demand Zone;
   source_demand Fleet;
   /// At the last division: the demand of all that were heard, this one
   /// included, and the part of the rate that was divided among them.
-  double HeardDemand = 0;
-  double HeardPart = 1;
+  double FreshDemand = 0;
+  double FreshShare = 1;
   /// What all instances together are asked for a second.
   double FleetDemand = 0;
   /// FleetDemand is more than the rate.
-  bool Pressed = false;
-  /// The whole bucket stands at one instance; here, if it is Kept. See
-  /// gathered_rates.hpp.
-  bool Gathered = false;
-  bool Kept = false;
+  bool OverRate = false;
+  /// The whole bucket stands at one instance; here, if it is OwnedHere. See
+  /// centralized_buckets.hpp.
+  bool Centralized = false;
+  bool OwnedHere = false;
   /// hashOf the name of that instance; 0: not drawn yet.
-  std::uint32_t Keeper = 0;
+  std::uint32_t Owner = 0;
   /// When this instance, drawn in place of another one, begins to keep it, and
   /// how many tokens it then has.
-  base::instant KeepsFrom;
-  double FirstTokens = 0;
+  base::instant OwnsFrom;
+  double InitialTokens = 0;
   /// The part serves chance arrivals well enough, or there is no fresh news of
   /// the others to go by instead.
   bool Divisible = true;
 };
 
 /// An instance that may keep buckets.
-struct keeper_candidate {
-  std::uint32_t Place = 0;
+struct owner_candidate {
+  std::uint32_t NameHash = 0;
   /// hashOf its name.
   std::uint32_t Instance = 0;
 
-  friend bool operator==(const keeper_candidate &,
-                         const keeper_candidate &) = default;
+  friend bool operator==(const owner_candidate &,
+                         const owner_candidate &) = default;
 };
 
 /// Not thread safe.
@@ -166,19 +166,19 @@
   /// The first division of rates.
   std::optional<base::instant> StartedAt;
   /// Whether a majority has been heard since the start.
-  bool Acquainted = false;
+  bool StartupDone = false;
   /// This instance leaves its parts to the others.
-  bool Yielded = false;
+  bool GaveUpShare = false;
   /// How many instances the sums to pass on hold.
   std::size_t ZoneInstances = 0;
   std::size_t FleetInstances = 0;
   std::size_t UnknownInstances = 0;
-  /// When rates were gathered last; see gathered_rates.hpp.
-  std::optional<base::instant> GatheredAt;
+  /// When rates were gathered last; see centralized_buckets.hpp.
+  std::optional<base::instant> LastCentralizedAt;
   /// Since when without a break.
-  std::optional<base::instant> GathersSince;
+  std::optional<base::instant> CentralizedSince;
   /// Among which the keepers of buckets were drawn.
-  std::vector<keeper_candidate> KeeperCandidates;
+  std::vector<owner_candidate> OwnerCandidates;
 };
 
 /// Takes in the rates and bursts in force.
@@ -192,7 +192,7 @@
 double bucketDepth(const demand_shares &Shares, const demand_account &Account);
 
 /// Tokens a second that come into the bucket of \p Account.
-double fillSpeed(const demand_shares &Shares, const demand_account &Account);
+double fillRate(const demand_shares &Shares, const demand_account &Account);
 
 /// Tokens that an operation of \p Priority leaves to more urgent ones.
 double tokensReserved(const demand_shares &Shares,
@@ -205,10 +205,10 @@
 /// Tokens of \p Account beyond what its own callers are about to need.
 double spareTokens(const demand_shares &Shares, const demand_account &Account);
 
-/// Works out the parts anew. Call at each heartbeat. \p InTouch: a majority is
-/// heard or the store is reached.
+/// Works out the parts anew. Call at each heartbeat. \p InContact: a majority
+/// is heard or the store is reached.
 void divideRates(demand_shares &Shares, const membership &Membership,
-                 bool InTouch, base::instant Now);
+                 bool InContact, base::instant Now);
 
 /// Leaves this instance's parts to the others: from now on it announces no
 /// demand and admits the idle part only. For an instance that sends its callers
@@ -234,10 +234,10 @@
   double Missing = 0;
 };
 
-/// Takes a token of \p Customer, waiting for it \p Patience at most.
+/// Takes a token of \p Customer, waiting for it \p MaxWait at most.
 /// \p Priority 0 is the highest. Unknown customers are refused.
 demand_verdict takeDemandToken(demand_shares &Shares, std::string_view Customer,
-                               unsigned Priority, base::microseconds Patience,
+                               unsigned Priority, base::microseconds MaxWait,
                                base::instant Now);
 
 /// Ends an operation whose verdict was Counted. One that no endpoint has \p
--- a/packages/control/include/redwinggw/control/demand_sources.hpp
+++ b/packages/control/include/redwinggw/control/demand_sources.hpp
@@ -15,13 +15,13 @@
 
 /// How recent a source is.
 enum class source_state {
-  Heard,
+  Fresh,
   /// Not heard for a moment: its part of a rate stays as it was.
   Silent,
   /// Silent for long: some of its part may be taken over. So it is with one
   /// that leaves: it serves until the balancer sends nobody any more, and its
   /// part would else be spent twice.
-  Missed,
+  LongSilent,
   /// Never heard.
   Unknown,
 };
@@ -34,13 +34,13 @@
   /// How many instances it holds.
   double Instances = 1;
   /// The sums hold this instance's own demand too.
-  bool WithOwn = false;
+  bool IncludesOwn = false;
   /// An instance that reports here as to its relay.
   bool ReportsHere = false;
   /// One of them, or none for an unknown source. They live as long as the
   /// membership stays as it is.
-  const std::vector<wire::demand_report> *Told = nullptr;
-  const wire::demand_digest *Summed = nullptr;
+  const std::vector<wire::demand_report> *Reports = nullptr;
+  const wire::demand_digest *Digest = nullptr;
 };
 
 /// What a source, or several, have of one customer.
@@ -48,14 +48,14 @@
   double Rate = 0;
   /// Of silent instances among those that a relay counts.
   double SilentRate = 0;
-  double SilentPart = 0;
-  double MissedPart = 0;
+  double SilentShare = 0;
+  double LongSilentShare = 0;
 };
 
 /// When a source turns from one state to the next, since it was heard.
 struct source_times {
-  base::milliseconds HeardFor;
-  base::milliseconds MissedAfter;
+  base::milliseconds FreshFor;
+  base::milliseconds LongSilentAfter;
 };
 
 /// All sources at \p Now. Valid until \p Membership changes.
--- a/packages/control/include/redwinggw/control/rendezvous.hpp
+++ b/packages/control/include/redwinggw/control/rendezvous.hpp
@@ -10,10 +10,10 @@
 
 /// The place of a thing, and of an instance, by its name. The same on every
 /// machine. Thread safe.
-std::uint32_t rendezvousPlace(std::string_view Name);
+std::uint32_t rendezvousHash(std::string_view Name);
 
-/// What the instance at \p Instance draws for the thing at \p Thing. Thread
+/// What the instance at \p Instance draws for the thing at \p Key. Thread
 /// safe.
-std::uint32_t rendezvousDraw(std::uint32_t Thing, std::uint32_t Instance);
+std::uint32_t rendezvousWeight(std::uint32_t Key, std::uint32_t Instance);
 
 } // namespace redwinggw::control
--- a/packages/control/include/redwinggw/control/token_lending.hpp
+++ b/packages/control/include/redwinggw/control/token_transfer.hpp
@@ -18,55 +18,54 @@
 /// more for it.
 namespace redwinggw::control {
 
-struct lending_limits {
+struct transfer_limits {
   /// While a request may still be answered no other one leaves.
-  base::milliseconds AnswerTime{20};
+  base::milliseconds AnswerTimeout{20};
   /// An instance that had none is passed over until its next
   /// heartbeat tells what it has.
-  base::milliseconds PassOver{200};
+  base::milliseconds SkipTime{200};
   /// Borrowed tokens that may stand beyond a flat bucket's depth.
-  double LoanRoom = 2;
+  double TransferRoom = 2;
   /// Tokens that one request asks for at most.
-  double Most = 8;
+  double MaxTokens = 8;
   /// The need of so long ahead is asked for too.
   base::milliseconds Ahead{100};
 };
 
 /// What one instance remembers of its requests. Not thread safe.
-struct token_lending {
-  lending_limits Limits;
+struct token_transfers {
+  transfer_limits Limits;
   /// What is known of the loans of one customer's tokens.
-  struct customer_loans {
+  struct customer_requests {
     /// An answer may still come until then.
-    base::instant AskedUntil;
+    base::instant PendingUntil;
     /// Instances that had none, and until when they are passed over.
-    std::map<base::instance_name, base::instant, std::less<>> PassedOver;
+    std::map<base::instance_name, base::instant, std::less<>> Skipped;
   };
-  std::map<base::customer_name, customer_loans, std::less<>> Loans;
+  std::map<base::customer_name, customer_requests, std::less<>> Requests;
 };
 
 /// Whom to ask, and for how much.
-struct loan_request {
-  base::instance_name Lender;
+struct transfer_request {
+  base::instance_name Donor;
   double Tokens = 0;
 };
 
 /// The instance that told of the most spare tokens of \p Customer. Nothing
 /// while the last request may be answered, or when nobody has any. \p Missing:
 /// what the operation lacks here.
-std::optional<loan_request> askForTokens(token_lending &Lending,
-                                         const demand_shares &Shares,
-                                         const membership &Membership,
-                                         std::string_view Customer,
-                                         double Missing, base::instant Now);
+std::optional<transfer_request>
+requestTransfer(token_transfers &Transfers, const demand_shares &Shares,
+                const membership &Membership, std::string_view Customer,
+                double Missing, base::instant Now);
 
 /// Takes up to \p Wanted spare tokens out of the own bucket, to be lent.
-double lendTokens(demand_shares &Shares, std::string_view Customer,
-                  double Wanted, base::instant Now);
+double withdrawSpareTokens(demand_shares &Shares, std::string_view Customer,
+                           double Wanted, base::instant Now);
 
-/// Puts what \p Lender has lent into the own bucket, as far as it has room.
-void takeLoan(token_lending &Lending, demand_shares &Shares,
-              std::string_view Lender, std::string_view Customer, double Tokens,
-              base::instant Now);
+/// Puts what \p Donor has lent into the own bucket, as far as it has room.
+void depositTokens(token_transfers &Transfers, demand_shares &Shares,
+                   std::string_view Donor, std::string_view Customer,
+                   double Tokens, base::instant Now);
 
 } // namespace redwinggw::control
--- /dev/null
+++ b/packages/control/src/centralized_buckets.cpp
@@ -0,0 +1,209 @@
+#include "redwinggw/control/centralized_buckets.hpp"
+
+#include "redwinggw/control/relays.hpp"
+#include "redwinggw/control/rendezvous.hpp"
+
+#include <algorithm>
+
+namespace redwinggw::control {
+namespace {
+
+using base::instant;
+using base::microseconds;
+
+/// How much later the others may notice that a keeper is silent than it notices
+/// itself that it hears no majority.
+constexpr base::milliseconds OwnerChangeDelay{600};
+
+/// Instances that start together come to hear a majority within so long.
+constexpr base::milliseconds JointStartupTime{800};
+
+/// What the keepers of a fleet in which nobody kept a bucket begin with, in
+/// seconds of the rate: less than the time for which nobody was served.
+constexpr double InitialSeconds = 0.3;
+
+/// How long after the last majority an instance that hears none begins to
+/// divide.
+constexpr base::milliseconds DivideDelay{1000};
+
+/// Instances that may keep buckets, this one included, as places for draws with
+/// the hashes of their names.
+std::vector<owner_candidate> candidates(const membership &Membership) {
+  std::vector<owner_candidate> Found;
+  const auto Add = [&](const base::instance_name &Name) {
+    Found.push_back({rendezvousHash(Name), wire::hashOf(Name)});
+  };
+  for (const member &Member : Membership.Members)
+    if (Member.State == member_state::Alive)
+      Add(Member.Name);
+  if (!Membership.Local.Leaving)
+    Add(Membership.Self.Name);
+  return Found;
+}
+
+std::uint32_t ownerOf(std::string_view Customer,
+                      const std::vector<owner_candidate> &Candidates) {
+  const std::uint32_t CustomerHash = rendezvousHash(Customer);
+  const auto Best = std::ranges::max_element(
+      Candidates, {}, [&](const owner_candidate &Candidate) {
+        return rendezvousWeight(CustomerHash, Candidate.NameHash);
+      });
+  return Best == Candidates.end() ? 0 : Best->Instance;
+}
+
+/// A keeper that says that it leaves has stopped to keep; of one that fell
+/// silent it is not known when it notices that it hears nobody.
+bool hasStopped(const membership &Membership, std::uint32_t Owner) {
+  const member *Member = findByHash(Membership, Owner);
+  return Member != nullptr && Member->State == member_state::Leaving;
+}
+
+/// Whether no instance that is heard has gathered for longer than since a
+/// moment ago: then nobody has kept a bucket before, as a keeper would be heard
+/// by somebody of every majority. So it is when all have started at the same
+/// time.
+bool hadNoOwners(const demand_shares &Shares, const membership &Membership,
+                 instant Now) {
+  return !hasCentralizedBuckets(Shares, Now) &&
+         std::ranges::none_of(Membership.Members, [&](const member &Member) {
+           return Member.Gathers && isHeard(Membership, Member, Now);
+         });
+}
+
+void setOwner(demand_account &Account, std::uint32_t Owner, instant From,
+              double InitialTokens) {
+  if (Account.Owner == Owner)
+    return;
+  Account.Owner = Owner;
+  Account.OwnsFrom = From;
+  Account.InitialTokens = InitialTokens;
+}
+
+/// Draws anew only after a change: it takes a draw for each customer and
+/// instance.
+void chooseOwners(demand_shares &Shares, const membership &Membership,
+                  instant Now) {
+  auto Candidates = candidates(Membership);
+  const bool Changed = Candidates != Shares.OwnerCandidates;
+  const bool Begins = !Shares.CentralizedSince;
+  const bool NoOwnersBefore = hadNoOwners(Shares, Membership, Now);
+  for (auto &[Name, Account] : Shares.Accounts) {
+    if (!Changed && !Begins && Account.Owner != 0)
+      continue;
+    if (Begins)
+      Account.Owner = 0;
+    const bool Stopped = hasStopped(Membership, Account.Owner);
+    const instant From =
+        NoOwnersBefore || Stopped ? Now : Now + OwnerChangeDelay;
+    setOwner(Account, ownerOf(Name, Candidates), From,
+             Begins && NoOwnersBefore ? InitialSeconds * Account.Rate : 0);
+  }
+  Shares.OwnerCandidates = std::move(Candidates);
+}
+
+void applyCentralized(const demand_shares &Shares, demand_account &Account,
+                      bool OwnedHere) {
+  // Whoever comes to keep it does not know what was spent.
+  const bool Begins = OwnedHere && !Account.OwnedHere;
+  Account.Centralized = true;
+  Account.OwnedHere = OwnedHere;
+  Account.Divisible = true;
+  Account.Share = OwnedHere ? Account.FreshShare : 0;
+  if (Begins || !OwnedHere)
+    Account.Tokens = Begins ? Account.InitialTokens : 0;
+  Account.Tokens = std::min(Account.Tokens, bucketDepth(Shares, Account));
+}
+
+/// The token that a caller may get in time: how long it waits for it.
+microseconds waitForTokens(const demand_shares &Shares,
+                           const demand_account &Account, double Needed) {
+  const double FillRate = fillRate(Shares, Account);
+  constexpr microseconds Never{1'000'000};
+  if (FillRate <= 0)
+    return Never;
+  const double Missing = std::max(0.0, Needed - Account.Tokens);
+  return microseconds(static_cast<std::int64_t>(Missing / FillRate * 1e6));
+}
+
+demand_account *accountOf(demand_shares &Shares, std::string_view Customer) {
+  const auto Found = Shares.Accounts.find(Customer);
+  return Found == Shares.Accounts.end() ? nullptr : &Found->second;
+}
+
+} // namespace
+
+void centralizeBuckets(demand_shares &Shares, const membership &Membership,
+                       bool InContact, instant Now) {
+  const bool Centralizes = usesRelays(Membership) && Shares.StartupDone &&
+                           InContact && hearsMajority(Membership, Now);
+  if (Centralizes) {
+    chooseOwners(Shares, Membership, Now);
+    Shares.LastCentralizedAt = Now;
+    Shares.CentralizedSince = Shares.CentralizedSince.value_or(Now);
+  } else {
+    Shares.CentralizedSince.reset();
+  }
+  // The keepers may not have noticed yet that this instance is silent.
+  const bool Silent =
+      Shares.LastCentralizedAt && Now - *Shares.LastCentralizedAt < DivideDelay;
+  const bool Pauses = Silent || (usesRelays(Membership) && !Shares.StartupDone);
+  const std::uint32_t Self = wire::hashOf(Membership.Self.Name);
+  for (auto &[Name, Account] : Shares.Accounts) {
+    if (Centralizes) {
+      applyCentralized(Shares, Account,
+                       Account.Owner == Self && Now >= Account.OwnsFrom);
+      continue;
+    }
+    Account.Centralized = false;
+    Account.OwnedHere = false;
+    if (Pauses)
+      Account.Share = 0;
+    Account.Tokens = std::min(Account.Tokens, bucketDepth(Shares, Account));
+  }
+}
+
+bool hasCentralizedBuckets(const demand_shares &Shares, instant Now) {
+  return Shares.CentralizedSince &&
+         Now - *Shares.CentralizedSince > JointStartupTime;
+}
+
+bool isCentralized(const demand_shares &Shares, std::string_view Customer) {
+  const auto Found = Shares.Accounts.find(Customer);
+  return Found != Shares.Accounts.end() && Found->second.Centralized;
+}
+
+const member *bucketOwner(const demand_shares &Shares,
+                          const membership &Membership,
+                          std::string_view Customer) {
+  const auto Found = Shares.Accounts.find(Customer);
+  if (Found == Shares.Accounts.end() || Found->second.OwnedHere)
+    return nullptr;
+  return findByHash(Membership, Found->second.Owner);
+}
+
+std::optional<bucket_owner_answer>
+grantToken(demand_shares &Shares, std::string_view Customer, unsigned Priority,
+           microseconds MaxWait, instant Now) {
+  demand_account *Account = accountOf(Shares, Customer);
+  if (Account == nullptr || !Account->OwnedHere)
+    return std::nullopt;
+  fillBucket(Shares, *Account, Now);
+  const double Needed = 1 + tokensReserved(Shares, *Account, Priority);
+  const microseconds Wait = waitForTokens(Shares, *Account, Needed);
+  if (Wait > MaxWait)
+    return bucket_owner_answer{false, Wait};
+  --Account->Tokens;
+  return bucket_owner_answer{true, Wait};
+}
+
+demand_verdict verdictFromOwner(demand_shares &Shares,
+                                std::string_view Customer,
+                                const bucket_owner_answer &Answer) {
+  demand_account *Account = accountOf(Shares, Customer);
+  if (Account == nullptr || !Answer.Granted)
+    return {false, false, Answer.Wait};
+  ++Account->Unsettled;
+  return {true, true, Answer.Wait};
+}
+
+} // namespace redwinggw::control
--- a/packages/control/src/demand_shares.cpp
+++ b/packages/control/src/demand_shares.cpp
@@ -31,93 +31,95 @@
 }
 
 /// What the others have of a customer's rate.
-struct others_view {
+struct others_demand {
   /// Demand of those that are heard, with their idle part.
-  double Heard = 0;
+  double FreshDemand = 0;
   /// Last known demand of those that are silent.
   double SilentDemand = 0;
-  /// Part of the whole rate that those had, and of those missed for long.
-  double SilentPart = 0;
-  double MissedPart = 0;
+  /// Share of the whole rate that those had, and of those missed for long.
+  double SilentShare = 0;
+  double LongSilentShare = 0;
 };
 
 /// The part that a silent source had when it was heard last.
-double silentPartOf(demand_account &Account, const std::string &Name,
-                    double Demand) {
-  const double Whole = std::max(Account.HeardDemand, Demand);
-  const double Had = Whole > 0 ? Demand / Whole * Account.HeardPart : 0;
-  return Account.SilentParts.try_emplace(Name, Had).first->second;
+double silentShareOf(demand_account &Account, const std::string &Name,
+                     double Demand) {
+  const double Whole = std::max(Account.FreshDemand, Demand);
+  const double Had = Whole > 0 ? Demand / Whole * Account.FreshShare : 0;
+  return Account.SilentShares.try_emplace(Name, Had).first->second;
 }
 
 /// The own demand as relays pass it on by now.
-double passedOnDemand(const demand_account &Account) {
+double relayedDemand(const demand_account &Account) {
   return Account.AnnouncedBefore.back();
 }
 
 /// The sums of a relay hold what this instance told it a moment ago.
 double withoutOwn(const demand_account &Account, const demand_source &Source,
                   double Rate) {
-  return Source.WithOwn ? std::max(0.0, Rate - passedOnDemand(Account)) : Rate;
+  return Source.IncludesOwn ? std::max(0.0, Rate - relayedDemand(Account))
+                            : Rate;
 }
 
 void addTo(source_demand &Total, const source_demand &Demand) {
   Total.Rate += Demand.Rate;
   Total.SilentRate += Demand.SilentRate;
-  Total.SilentPart += Demand.SilentPart;
-  Total.MissedPart += Demand.MissedPart;
+  Total.SilentShare += Demand.SilentShare;
+  Total.LongSilentShare += Demand.LongSilentShare;
 }
 
 /// \p Demand of a silent source, with all of it among the silent.
 source_demand asSilent(demand_account &Account, const demand_source &Source,
                        source_demand Demand, double Idle) {
-  const double Part = silentPartOf(Account, Source.Name, Demand.Rate + Idle);
+  const double Share = silentShareOf(Account, Source.Name, Demand.Rate + Idle);
   Demand.SilentRate += Demand.Rate;
-  Demand.SilentPart += Part;
-  Demand.MissedPart += Source.State == source_state::Missed ? Part : 0;
+  Demand.SilentShare += Share;
+  Demand.LongSilentShare +=
+      Source.State == source_state::LongSilent ? Share : 0;
   Demand.Rate = 0;
   return Demand;
 }
 
-void forgetHeard(demand_account &Account,
+void forgetFresh(demand_account &Account,
                  const std::vector<demand_source> &Sources) {
-  std::erase_if(Account.SilentParts, [&](const auto &Item) {
+  std::erase_if(Account.SilentShares, [&](const auto &Item) {
     return std::ranges::none_of(Sources, [&](const demand_source &Source) {
       const bool Silent = Source.State == source_state::Silent ||
-                          Source.State == source_state::Missed;
+                          Source.State == source_state::LongSilent;
       return Silent && Source.Name == Item.first;
     });
   });
 }
 
-others_view viewOthers(demand_account &Account,
-                       const std::vector<demand_source> &Sources,
-                       std::uint32_t Customer, double IdleOfOne) {
-  others_view View;
+others_demand demandOfOthers(demand_account &Account,
+                             const std::vector<demand_source> &Sources,
+                             std::uint32_t Customer, double IdleOfOne) {
+  others_demand Others;
   Account.Zone = {};
   Account.Fleet = {};
   for (const demand_source &Source : Sources) {
     const double Idle = IdleOfOne * Source.Instances;
     if (Source.State == source_state::Unknown) {
       // Each may be asked for as much as this instance.
-      View.Heard += Account.Announced * Source.Instances + Idle;
+      Others.FreshDemand += Account.Announced * Source.Instances + Idle;
       continue;
     }
     source_demand Demand = demandFrom(Source, Customer);
     Demand.Rate = withoutOwn(Account, Source, Demand.Rate);
-    if (Source.State != source_state::Heard)
+    if (Source.State != source_state::Fresh)
       Demand = asSilent(Account, Source, Demand, Idle);
     else
-      View.Heard += Demand.Rate + Idle;
+      Others.FreshDemand += Demand.Rate + Idle;
     addTo(Account.Fleet, Demand);
     if (Source.ReportsHere)
       addTo(Account.Zone, Demand);
   }
-  View.SilentDemand = Account.Fleet.SilentRate;
-  View.SilentPart = Account.Fleet.SilentPart;
-  View.MissedPart = Account.Fleet.MissedPart;
+  Others.SilentDemand = Account.Fleet.SilentRate;
+  Others.SilentShare = Account.Fleet.SilentShare;
+  Others.LongSilentShare = Account.Fleet.LongSilentShare;
   Account.Fleet.Rate += Account.Announced;
-  forgetHeard(Account, Sources);
-  return View;
+  forgetFresh(Account, Sources);
+  return Others;
 }
 
 /// Counts the instances whose demand the sums to pass on hold.
@@ -137,30 +139,30 @@
 }
 
 /// The part of the rate that is divided among those that are heard.
-double heardPart(const demand_shares &Shares, const others_view &Others,
-                 bool HearsMajority) {
+double freshShare(const demand_shares &Shares, const others_demand &Others,
+                  bool HasMajority) {
   const demand_limits &Limits = Shares.Limits;
-  const double Free = (1 - Limits.SilentReserve) * Others.MissedPart;
+  const double Free = (1 - Limits.SilentReserve) * Others.LongSilentShare;
   const double TakenOver =
-      HearsMajority ? std::min(Free, Limits.MostTakenOver) : 0;
-  return std::max(0.0, 1 - Others.SilentPart + TakenOver);
+      HasMajority ? std::min(Free, Limits.MaxTakenOver) : 0;
+  return std::max(0.0, 1 - Others.SilentShare + TakenOver);
 }
 
 /// The largest part that an instance may take for itself. The others may be
 /// using the whole rate while a new instance has not heard a majority, and
 /// count only the idle part for one that has told them no demand. Right after
 /// the start, an equal part does no harm: all may have started together.
-double mostOf(demand_shares &Shares, bool HearsMajority, double Instances,
-              instant Now) {
+double maxShare(demand_shares &Shares, bool HasMajority, double Instances,
+                instant Now) {
   if (!Shares.StartedAt)
     Shares.StartedAt = Now;
   const demand_limits &Limits = Shares.Limits;
   const auto Age = Now - *Shares.StartedAt;
-  Shares.Acquainted =
-      Shares.Acquainted || HearsMajority || Age > Limits.StrangerFor;
-  if (Shares.Acquainted)
+  Shares.StartupDone =
+      Shares.StartupDone || HasMajority || Age > Limits.MaxStartupTime;
+  if (Shares.StartupDone)
     return 1;
-  return (Age < Limits.FirstHeartbeats ? 1 : Limits.IdlePart) / Instances;
+  return (Age < Limits.FirstHeartbeats ? 1 : Limits.IdleShare) / Instances;
 }
 
 /// Admits an operation after \p Wait. A bucket that holds hardly more than one
@@ -175,45 +177,46 @@
 /// Whether an operation may go without a token: the part is too small to be
 /// divided in time, and the fleet as a whole is asked for clearly less than the
 /// rate.
-bool isCalm(const demand_shares &Shares, const demand_account &Account) {
-  const double Here = Account.Demand - Account.Announced;
+bool hasLowDemand(const demand_shares &Shares, const demand_account &Account) {
+  const double NewDemand = Account.Demand - Account.Announced;
   return !Account.Divisible &&
-         Account.FleetDemand + Here < Shares.Limits.CalmShare * Account.Rate;
+         Account.FleetDemand + NewDemand <
+             Shares.Limits.LowDemandFraction * Account.Rate;
 }
 
 } // namespace
 
-double fillSpeed(const demand_shares &Shares, const demand_account &Account) {
-  return Account.Rate * Shares.Limits.RateSlack * Account.Part;
+double fillRate(const demand_shares &Shares, const demand_account &Account) {
+  return Account.Rate * Shares.Limits.RateSlack * Account.Share;
 }
 
 double tokensReserved(const demand_shares &Shares,
                       const demand_account &Account, unsigned Priority) {
-  if (!Account.Pressed)
+  if (!Account.OverRate)
     return 0;
   const demand_limits &Limits = Shares.Limits;
-  const double Part =
-      std::min(Limits.ReservePerPriority * Priority, Limits.MostReserved);
+  const double Fraction =
+      std::min(Limits.ReservePerPriority * Priority, Limits.MaxReserved);
   // A bucket too small to divide serves in the order of arrival.
   const double Room = std::max(0.0, bucketDepth(Shares, Account) - 1);
-  return Part * Room;
+  return Fraction * Room;
 }
 
 double bucketDepth(const demand_shares &Shares, const demand_account &Account) {
   const double Depth =
-      (Account.Burst + Shares.Limits.ExtraTokens) * Account.Part;
+      (Account.Burst + Shares.Limits.ExtraTokens) * Account.Share;
   return Account.Announced > 0 ? std::max(1.0, Depth) : Depth;
 }
 
 void fillBucket(const demand_shares &Shares, demand_account &Account,
                 instant Now) {
   const double Added =
-      fillSpeed(Shares, Account) * secondsBetween(Account.FilledAt, Now);
+      fillRate(Shares, Account) * secondsBetween(Account.FilledAt, Now);
   const double Room =
       bucketDepth(Shares, Account) - Account.Tokens - Account.Unsettled;
   Account.Tokens += std::clamp(Added, 0.0, std::max(0.0, Room));
-  Account.Tokens =
-      std::min(Account.Tokens, bucketDepth(Shares, Account) + Account.LoanRoom);
+  Account.Tokens = std::min(Account.Tokens, bucketDepth(Shares, Account) +
+                                                Account.TransferRoom);
   Account.FilledAt = Now;
 }
 
@@ -238,61 +241,60 @@
 }
 
 void divideRates(demand_shares &Shares, const membership &Membership,
-                 bool InTouch, instant Now) {
-  const bool Heard = hearsMajority(Membership, Now);
-  if (InTouch)
+                 bool InContact, instant Now) {
+  const bool HasMajority = hearsMajority(Membership, Now);
+  if (InContact)
     Shares.IsolatedSince.reset();
   else if (!Shares.IsolatedSince)
     Shares.IsolatedSince = Now;
   const bool Isolated = Shares.IsolatedSince && Now - *Shares.IsolatedSince >
                                                     Shares.Limits.IsolatedAfter;
   const auto Instances = static_cast<double>(instanceCount(Membership));
-  const double Most = mostOf(Shares, Heard, Instances, Now);
+  const double Max = maxShare(Shares, HasMajority, Instances, Now);
   const auto Sources = demandSources(
-      Membership, {Shares.Limits.HeardFor, Shares.Limits.SilentAfter}, Now);
+      Membership, {Shares.Limits.FreshFor, Shares.Limits.LongSilentAfter}, Now);
   countInstances(Shares, Sources);
   const bool Relayed = usesRelays(Membership);
   for (auto &[Name, Account] : Shares.Accounts) {
     const std::uint32_t Hash = wire::hashOf(Name);
-    const double Idle = Shares.Limits.IdlePart * Account.Rate / Instances;
+    const double Idle = Shares.Limits.IdleShare * Account.Rate / Instances;
     const double Own =
-        (Relayed ? passedOnDemand(Account) : Account.Announced) + Idle;
-    const others_view Others = viewOthers(Account, Sources, Hash, Idle);
-    const double Sum = Own + Others.Heard;
+        (Relayed ? relayedDemand(Account) : Account.Announced) + Idle;
+    const others_demand Others = demandOfOthers(Account, Sources, Hash, Idle);
+    const double Sum = Own + Others.FreshDemand;
     fillBucket(Shares, Account, Now);
-    Account.LoanRoom = 0;
-    Account.HeardDemand = Sum;
-    Account.HeardPart = heardPart(Shares, Others, Heard);
-    Account.Part = Sum > 0 ? Own / Sum * Account.HeardPart : 0;
+    Account.TransferRoom = 0;
+    Account.FreshDemand = Sum;
+    Account.FreshShare = freshShare(Shares, Others, HasMajority);
+    Account.Share = Sum > 0 ? Own / Sum * Account.FreshShare : 0;
     Account.FleetDemand =
         std::max(0.0, Sum - Instances * Idle) + Others.SilentDemand;
-    Account.Pressed = Account.FleetDemand > Account.Rate;
+    Account.OverRate = Account.FleetDemand > Account.Rate;
     if (Isolated)
-      Account.Part /= 2;
-    Account.Part = std::min(Account.Part, Most);
-    Account.Divisible =
-        !Heard || Isolated || Most < 1 ||
-        bucketDepth(Shares, Account) >= Shares.Limits.LeastDepth;
+      Account.Share /= 2;
+    Account.Share = std::min(Account.Share, Max);
+    Account.Divisible = !HasMajority || Isolated || Max < 1 ||
+                        bucketDepth(Shares, Account) >= Shares.Limits.MinDepth;
     // What a keeper has is clamped once it is known whether it still is one.
-    if (!Account.Gathered)
+    if (!Account.Centralized)
       Account.Tokens = std::min(Account.Tokens, bucketDepth(Shares, Account));
   }
 }
 
 double spareTokens(const demand_shares &Shares, const demand_account &Account) {
-  const double Kept =
+  const double OwnReserve =
       1 + Account.Announced *
-              std::chrono::duration<double>(Shares.Limits.KeptFor).count();
-  return std::max(0.0, Account.Tokens - Kept);
+              std::chrono::duration<double>(Shares.Limits.ReserveTime).count();
+  return std::max(0.0, Account.Tokens - OwnReserve);
 }
 
-void yieldRates(demand_shares &Shares) { Shares.Yielded = true; }
+void yieldRates(demand_shares &Shares) { Shares.GaveUpShare = true; }
 
 namespace {
 
 std::uint8_t wholeTokens(double Tokens) {
-  constexpr double Most = UINT8_MAX;
-  return static_cast<std::uint8_t>(std::min(Most, std::floor(Tokens)));
+  constexpr double Max = UINT8_MAX;
+  return static_cast<std::uint8_t>(std::min(Max, std::floor(Tokens)));
 }
 
 } // namespace
@@ -300,13 +302,13 @@
 std::vector<wire::demand_report> announceDemand(demand_shares &Shares,
                                                 instant Now) {
   // Below this nothing worth its bytes was asked for lately.
-  constexpr double Least = 0.05;
+  constexpr double MinDemand = 0.05;
   std::vector<wire::demand_report> Reports;
   for (auto &[Name, Account] : Shares.Accounts) {
     decay(Shares, Account, Now);
-    const bool Told = Account.Demand > Least && !Shares.Yielded;
+    const bool Announces = Account.Demand > MinDemand && !Shares.GaveUpShare;
     Account.AnnouncedBefore = {Account.Announced, Account.AnnouncedBefore[0]};
-    Account.Announced = Told ? Account.Demand : 0;
+    Account.Announced = Announces ? Account.Demand : 0;
     if (Account.Announced > 0)
       Reports.push_back({wire::hashOf(Name),
                          static_cast<float>(Account.Announced),
@@ -325,17 +327,17 @@
     const std::uint32_t Customer = wire::hashOf(Name);
     if (Sum.Rate > 0)
       Digest.Sums.push_back({Customer, static_cast<float>(Sum.Rate)});
-    if (Sum.SilentPart > 0)
+    if (Sum.SilentShare > 0)
       Digest.Silent.push_back({Customer, static_cast<float>(Sum.SilentRate),
-                               static_cast<float>(Sum.SilentPart),
-                               static_cast<float>(Sum.MissedPart)});
+                               static_cast<float>(Sum.SilentShare),
+                               static_cast<float>(Sum.LongSilentShare)});
   }
   return Digest;
 }
 
 std::uint16_t countOf(std::size_t Instances) {
-  constexpr std::size_t Most = UINT16_MAX;
-  return static_cast<std::uint16_t>(std::min(Most, Instances));
+  constexpr std::size_t Max = UINT16_MAX;
+  return static_cast<std::uint16_t>(std::min(Max, Instances));
 }
 
 } // namespace
@@ -354,7 +356,7 @@
 }
 
 demand_verdict takeDemandToken(demand_shares &Shares, std::string_view Customer,
-                               unsigned Priority, base::microseconds Patience,
+                               unsigned Priority, base::microseconds MaxWait,
                                instant Now) {
   const auto Found = Shares.Accounts.find(Customer);
   if (Found == Shares.Accounts.end())
@@ -362,20 +364,20 @@
   demand_account &Account = Found->second;
   countDemand(Shares, Account, Now);
   fillBucket(Shares, Account, Now);
-  if (isCalm(Shares, Account)) {
-    Account.Tokens = std::max(-Shares.Limits.MostOwed, Account.Tokens - 1);
+  if (hasLowDemand(Shares, Account)) {
+    Account.Tokens = std::max(-Shares.Limits.MaxDebt, Account.Tokens - 1);
     return {true, false, {}};
   }
   const double Needed = 1 + tokensReserved(Shares, Account, Priority);
   if (Account.Tokens >= Needed)
     return take(Account, {});
-  const double Speed = fillSpeed(Shares, Account);
+  const double FillRate = fillRate(Shares, Account);
   constexpr base::microseconds Never{1'000'000};
-  if (Speed <= 0)
+  if (FillRate <= 0)
     return {false, false, Never};
   const base::microseconds Wait(
-      static_cast<std::int64_t>((Needed - Account.Tokens) / Speed * 1e6));
-  if (Wait > Patience)
+      static_cast<std::int64_t>((Needed - Account.Tokens) / FillRate * 1e6));
+  if (Wait > MaxWait)
     return {false, false, Wait, Needed - Account.Tokens};
   return take(Account, Wait);
 }
--- a/packages/control/src/demand_sources.cpp
+++ b/packages/control/src/demand_sources.cpp
@@ -12,14 +12,14 @@
 
 using base::instant;
 
-source_state stateAt(std::optional<instant> HeardAt, const source_times &Times,
-                     instant Now) {
-  if (!HeardAt)
+source_state stateAt(std::optional<instant> ReceivedAt,
+                     const source_times &Times, instant Now) {
+  if (!ReceivedAt)
     return source_state::Unknown;
-  const auto Silence = Now - *HeardAt;
-  if (Silence > Times.MissedAfter)
-    return source_state::Missed;
-  return Silence > Times.HeardFor ? source_state::Silent : source_state::Heard;
+  const auto Silence = Now - *ReceivedAt;
+  if (Silence > Times.LongSilentAfter)
+    return source_state::LongSilent;
+  return Silence > Times.FreshFor ? source_state::Silent : source_state::Fresh;
 }
 
 demand_source sourceOf(const member &Member, const source_times &Times,
@@ -28,7 +28,7 @@
   Source.Name = Member.Name;
   Source.State = stateAt(Member.DirectAt, Times, Now);
   Source.ReportsHere = reportsHere(Member);
-  Source.Told = &Member.Report.Demands;
+  Source.Reports = &Member.Report.Demands;
   return Source;
 }
 
@@ -38,7 +38,7 @@
   Source.Name = std::move(Name);
   Source.State = stateAt(Relay.DirectAt, Times, Now);
   Source.Instances = Relay.Report.Digest.Demands.Heard;
-  Source.Summed = &Relay.Report.Digest.Demands;
+  Source.Digest = &Relay.Report.Digest.Demands;
   return Source;
 }
 
@@ -54,9 +54,9 @@
 const member *chosenRelay(const std::vector<const member *> &Relays,
                           const source_times &Times, instant Now) {
   const auto IsBetter = [&](const member *A, const member *B) {
-    const bool HeardA = Now - *A->DirectAt <= Times.HeardFor;
-    const bool HeardB = Now - *B->DirectAt <= Times.HeardFor;
-    if (HeardA && HeardB)
+    const bool FreshA = Now - *A->DirectAt <= Times.FreshFor;
+    const bool FreshB = Now - *B->DirectAt <= Times.FreshFor;
+    if (FreshA && FreshB)
       return ranksBefore(*A, *B);
     return *A->DirectAt > *B->DirectAt;
   };
@@ -81,7 +81,7 @@
   if (Relay == nullptr)
     return {unknownSource(static_cast<double>(Membership.Members.size()))};
   std::vector<demand_source> Sources{sourceOf(*Relay, "fleet", Times, Now)};
-  Sources.front().WithOwn = true;
+  Sources.front().IncludesOwn = true;
   Sources.front().Instances -= 1;
   if (Relay->Report.Digest.Demands.Unknown > 0)
     Sources.push_back(unknownSource(Relay->Report.Digest.Demands.Unknown));
@@ -125,10 +125,10 @@
     const auto Relay = Relays.find(Member.Zone);
     // Whoever has just become a relay is told of by itself and counted by its
     // former relay for a moment; both are then held against the rate.
-    const bool Elsewhere = Source.State != source_state::Heard &&
-                           Relay != Relays.end() &&
-                           isCounted(Member, *Relay->second);
-    if (!Elsewhere)
+    const bool CountedByRelay = Source.State != source_state::Fresh &&
+                                Relay != Relays.end() &&
+                                isCounted(Member, *Relay->second);
+    if (!CountedByRelay)
       Sources.push_back(std::move(Source));
   }
   return Sources;
@@ -164,17 +164,17 @@
 
 source_demand demandFrom(const demand_source &Source, std::uint32_t Customer) {
   source_demand Demand;
-  if (Source.Told != nullptr)
-    if (const auto *Told = entryOf(*Source.Told, Customer))
-      Demand.Rate = Told->Rate;
-  if (Source.Summed == nullptr)
+  if (Source.Reports != nullptr)
+    if (const auto *Report = entryOf(*Source.Reports, Customer))
+      Demand.Rate = Report->Rate;
+  if (Source.Digest == nullptr)
     return Demand;
-  if (const auto *Sum = entryOf(Source.Summed->Sums, Customer))
+  if (const auto *Sum = entryOf(Source.Digest->Sums, Customer))
     Demand.Rate = Sum->Rate;
-  if (const auto *Silent = entryOf(Source.Summed->Silent, Customer)) {
+  if (const auto *Silent = entryOf(Source.Digest->Silent, Customer)) {
     Demand.SilentRate = Silent->Rate;
-    Demand.SilentPart = Silent->Part;
-    Demand.MissedPart = Silent->Missed;
+    Demand.SilentShare = Silent->Part;
+    Demand.LongSilentShare = Silent->Missed;
   }
   return Demand;
 }
--- a/packages/control/src/rendezvous.cpp
+++ b/packages/control/src/rendezvous.cpp
@@ -17,12 +17,12 @@
 
 } // namespace
 
-std::uint32_t rendezvousPlace(std::string_view Name) {
+std::uint32_t rendezvousHash(std::string_view Name) {
   return spread(wire::hashOf(Name));
 }
 
-std::uint32_t rendezvousDraw(std::uint32_t Thing, std::uint32_t Instance) {
-  return spread(Thing ^ Instance);
+std::uint32_t rendezvousWeight(std::uint32_t Key, std::uint32_t Instance) {
+  return spread(Key ^ Instance);
 }
 
 } // namespace redwinggw::control
--- a/packages/redwinggw/src/native_news.cpp
+++ b/packages/redwinggw/src/native_news.cpp
@@ -1,7 +1,7 @@
 #include "native_state.hpp"
 
 #include "redwinggw/base/log.hpp"
-#include "redwinggw/control/gathered_rates.hpp"
+#include "redwinggw/control/centralized_buckets.hpp"
 #include "redwinggw/control/relays.hpp"
 
 #include <algorithm>
@@ -109,8 +109,8 @@
   // The parts follow at the pace of the heartbeats that carry the demands.
   const bool InTouch = isInTouch(State);
   divideRates(State.Shares, State.Peers->view(), InTouch, Now);
-  gatherRates(State.Shares, State.Peers->view(), InTouch, Now);
-  Report.Gathers = hasGathered(State.Shares, Now);
+  centralizeBuckets(State.Shares, State.Peers->view(), InTouch, Now);
+  Report.Gathers = hasCentralizedBuckets(State.Shares, Now);
   Report.Groups = groupReports(State);
   Report.ConfigurationRow = State.Stored.Row;
   Report.NewestRow = std::max(State.Stored.Row, newestConfigurationRow(State));
--- a/packages/redwinggw/src/native_rates.cpp
+++ b/packages/redwinggw/src/native_rates.cpp
@@ -1,6 +1,6 @@
 #include "native_state.hpp"
 
-#include "redwinggw/control/gathered_rates.hpp"
+#include "redwinggw/control/centralized_buckets.hpp"
 
 #include <algorithm>
 
@@ -37,8 +37,8 @@
   const instant Now = base::now();
   if (!State.Peers)
     co_return false;
-  const auto Loan = askForTokens(State.Lending, State.Shares,
-                                 State.Peers->view(), Customer, Missing, Now);
+  const auto Loan = requestTransfer(
+      State.Lending, State.Shares, State.Peers->view(), Customer, Missing, Now);
   if (!Loan)
     co_return false;
   wire::share_message Message;
@@ -46,7 +46,7 @@
   Message.Number = State.Loans.nextNumber();
   Message.Entries.push_back({Customer, static_cast<float>(Loan->Tokens), 0, 0});
   const std::uint64_t Number = Message.Number;
-  if (!State.Peers->send(Loan->Lender, std::move(Message)))
+  if (!State.Peers->send(Loan->Donor, std::move(Message)))
     co_return false;
   co_return co_await State.Loans.wait(Number, Now + LoanTime);
 }
@@ -65,8 +65,8 @@
           const wire::share_message &Request) {
   wire::share_message Grant = answerTo(Request, wire::share_kind::Grant);
   for (const wire::share_entry &Entry : Request.Entries) {
-    const double Given =
-        lendTokens(State.Shares, Entry.Customer, Entry.Tokens, base::now());
+    const double Given = withdrawSpareTokens(State.Shares, Entry.Customer,
+                                             Entry.Tokens, base::now());
     countLoan(State, Entry.Customer, "given", Given);
     Grant.Entries.push_back({Entry.Customer, static_cast<float>(Given), 0, 0});
   }
@@ -79,13 +79,13 @@
   if (Request.Entries.size() != 1)
     return;
   const wire::share_entry &Entry = Request.Entries.front();
-  const auto Answer = giveToken(State.Shares, Entry.Customer, Entry.Priority,
-                                base::microseconds(Entry.WaitUs), base::now());
+  const auto Answer = grantToken(State.Shares, Entry.Customer, Entry.Priority,
+                                 base::microseconds(Entry.WaitUs), base::now());
   if (!Answer) {
     State.Peers->send(To, answerTo(Request, wire::share_kind::Moved));
     return;
   }
-  const float Given = Answer->Given ? 1 : 0;
+  const float Given = Answer->Granted ? 1 : 0;
   countLoan(State, Entry.Customer, "given", Given);
   wire::share_message Grant = answerTo(Request, wire::share_kind::Grant);
   Grant.Entries.push_back({Entry.Customer, Given,
@@ -104,8 +104,8 @@
     return false;
   if (Grants && Answer.Entries.size() == 1) {
     const wire::share_entry &Entry = Answer.Entries.front();
-    Asked->second = control::keeper_answer{Entry.Tokens > 0,
-                                           base::microseconds(Entry.WaitUs)};
+    Asked->second = control::bucket_owner_answer{
+        Entry.Tokens > 0, base::microseconds(Entry.WaitUs)};
   }
   State.Loans.wake(Answer.Number);
   return true;
@@ -113,7 +113,7 @@
 
 /// Asks the keeper of the customer's bucket. Nothing when it did not answer, or
 /// does not keep it.
-base::task<std::optional<control::keeper_answer>>
+base::task<std::optional<control::bucket_owner_answer>>
 askKeeper(native_state &State, const control::member &Keeper,
           const std::string &Customer, unsigned Priority,
           base::microseconds Patience) {
@@ -138,7 +138,7 @@
               unsigned Priority, base::microseconds Patience,
               control::demand_verdict Here) {
   const control::member *Keeper =
-      State.Peers ? rateKeeper(State.Shares, State.Peers->view(), Customer)
+      State.Peers ? bucketOwner(State.Shares, State.Peers->view(), Customer)
                   : nullptr;
   // This instance keeps it, and it is empty.
   if (Keeper == nullptr)
@@ -149,17 +149,17 @@
     counterOf(State.Core.Metrics, base::metric::ShareTokensTotal,
               {Customer, "unanswered"})
         .Value += 1;
-    Here.Wait = control::NextKeeperWithin;
+    Here.Wait = control::NextOwnerWithin;
     co_return Here;
   }
-  co_return verdictOf(State.Shares, Customer, *Answer);
+  co_return verdictFromOwner(State.Shares, Customer, *Answer);
 }
 
 void takeGrant(native_state &State, const base::instance_name &From,
                const wire::share_message &Grant) {
   for (const wire::share_entry &Entry : Grant.Entries) {
-    takeLoan(State.Lending, State.Shares, From, Entry.Customer, Entry.Tokens,
-             base::now());
+    depositTokens(State.Lending, State.Shares, From, Entry.Customer,
+                  Entry.Tokens, base::now());
     countLoan(State, Entry.Customer, "taken", Entry.Tokens);
   }
   State.Loans.wake(Grant.Number);
@@ -175,7 +175,7 @@
   constexpr unsigned MostLenders = 2;
   auto Verdict =
       takeDemandToken(State.Shares, Customer, Priority, Patience, base::now());
-  if (!Verdict.Admitted && isGathered(State.Shares, Customer)) {
+  if (!Verdict.Admitted && isCentralized(State.Shares, Customer)) {
     Verdict =
         co_await admitByKeeper(State, Customer, Priority, Patience, Verdict);
     co_return admissionOf(Verdict);
--- a/packages/redwinggw/src/native_state.hpp
+++ b/packages/redwinggw/src/native_state.hpp
@@ -5,10 +5,10 @@
 #include "platform/caller_listener.hpp"
 #include "platform/row_store.hpp"
 
+#include "redwinggw/control/centralized_buckets.hpp"
 #include "redwinggw/control/demand_shares.hpp"
-#include "redwinggw/control/gathered_rates.hpp"
 #include "redwinggw/control/peer_service.hpp"
-#include "redwinggw/control/token_lending.hpp"
+#include "redwinggw/control/token_transfer.hpp"
 #include "redwinggw/http/server.hpp"
 #include "redwinggw/kernel/life_cycle.hpp"
 #include "redwinggw/session/endpoint_owner.hpp"
@@ -62,12 +62,13 @@
   /// The instances among which these were divided.
   std::vector<session::owner_candidate> OwnerCandidates;
   control::demand_shares Shares;
-  control::token_lending Lending;
+  control::token_transfers Lending;
   /// Operations that wait for tokens of another instance.
   session::wait_list Loans;
   /// What keepers of buckets answered to requests, by number; nothing yet for
   /// one that is open.
-  std::map<std::uint64_t, std::optional<control::keeper_answer>> KeeperAnswers;
+  std::map<std::uint64_t, std::optional<control::bucket_owner_answer>>
+      KeeperAnswers;
   session::primary_claims Claims;
   session::handover_limits Handover;
   /// Services whose primary this instance is moving.
--- a/packages/session/src/endpoint_owner.cpp
+++ b/packages/session/src/endpoint_owner.cpp
@@ -36,10 +36,10 @@
 
 const owner_candidate *ownerOf(std::string_view Endpoint, std::string_view Zone,
                                const std::vector<owner_candidate> &Candidates) {
-  const std::uint32_t Place = control::rendezvousPlace(Endpoint);
+  const std::uint32_t Place = control::rendezvousHash(Endpoint);
   const auto Weight = [&](const owner_candidate &Candidate) {
-    const std::uint32_t Draw = control::rendezvousDraw(
-        Place, control::rendezvousPlace(Candidate.Name));
+    const std::uint32_t Draw = control::rendezvousWeight(
+        Place, control::rendezvousHash(Candidate.Name));
     return std::tuple(Candidate.Zone == Zone, Draw,
                       std::string_view(Candidate.Name));
   };
--- a/tests/control/gathered_rates_test.cpp
+++ b/tests/control/centralized_buckets_test.cpp
@@ -1,4 +1,4 @@
-#include "redwinggw/control/gathered_rates.hpp"
+#include "redwinggw/control/centralized_buckets.hpp"
 
 #include "relayed_demand_fleet.hpp"
 
@@ -13,25 +13,26 @@
 
 namespace {
 
-demand_fleet gatheringFleet(double Rate, double Burst) {
+demand_fleet centralizedFleet(double Rate, double Burst) {
   demand_fleet Fleet = relayedFleet(Rate, Burst);
-  Fleet.Gathers = true;
+  Fleet.Centralizes = true;
   return Fleet;
 }
 
-std::vector<std::size_t> keepersOf(const demand_fleet &Fleet) {
-  std::vector<std::size_t> Keepers;
+std::vector<std::size_t> ownersOf(const demand_fleet &Fleet) {
+  std::vector<std::size_t> Owners;
   for (std::size_t Index = 0; Index < Count; ++Index)
-    if (!Fleet.isDead(Index) && Fleet.Shares[Index].Accounts.at("acme").Kept)
-      Keepers.push_back(Index);
-  return Keepers;
+    if (!Fleet.isDead(Index) &&
+        Fleet.Shares[Index].Accounts.at("acme").OwnedHere)
+      Owners.push_back(Index);
+  return Owners;
 }
 
 /// What the one keeper of the customer's bucket has.
-demand_shares &keeperShares(demand_fleet &Fleet) {
-  const auto Keepers = keepersOf(Fleet);
-  cr_assert(Keepers.size() == 1);
-  return Fleet.Shares[Keepers.front()];
+demand_shares &ownerShares(demand_fleet &Fleet) {
+  const auto Owners = ownersOf(Fleet);
+  cr_assert(Owners.size() == 1);
+  return Fleet.Shares[Owners.front()];
 }
 
 /// Runs a flood and answers whether each five seconds of it kept the rate.
@@ -47,7 +48,7 @@
 }
 
 /// The share that is refused of what is asked at \p Rate for ten seconds.
-double refusedPart(demand_fleet &Fleet, double Rate) {
+double refusedFraction(demand_fleet &Fleet, double Rate) {
   const std::size_t Before = Fleet.Spent;
   const auto Refused =
       static_cast<double>(Fleet.load(evenly(Rate), milliseconds(10'000)));
@@ -57,23 +58,23 @@
 } // namespace
 
 // Guards against parts of a rate that hold less than one operation.
-Test(gathered_rates, serve_small_customers_within_their_rates) {
+Test(centralized_buckets, serve_small_customers_within_their_rates) {
   for (const double Rate : {4.0, 8.0, 20.0, 100.0}) {
     demand_fleet Divided = relayedFleet(Rate, Rate);
-    demand_fleet Gathered = gatheringFleet(Rate, Rate);
+    demand_fleet Centralized = centralizedFleet(Rate, Rate);
     Divided.load(evenly(Rate / 1.6), milliseconds(8000));
-    Gathered.load(evenly(Rate / 1.6), milliseconds(8000));
-    const double Before = refusedPart(Divided, Rate / 1.6);
-    const double After = refusedPart(Gathered, Rate / 1.6);
+    Centralized.load(evenly(Rate / 1.6), milliseconds(8000));
+    const double Before = refusedFraction(Divided, Rate / 1.6);
+    const double After = refusedFraction(Centralized, Rate / 1.6);
     cr_assert(After < 0.01 && After <= Before,
               "rate %g: %g refused, %g where divided", Rate, After, Before);
   }
 }
 
-Test(gathered_rates, have_one_keeper_for_each_customer) {
-  demand_fleet Fleet = gatheringFleet(100, 100);
+Test(centralized_buckets, have_one_owner_for_each_customer) {
+  demand_fleet Fleet = centralizedFleet(100, 100);
   Fleet.load(evenly(50), milliseconds(3000));
-  cr_assert(keepersOf(Fleet).size() == 1);
+  cr_assert(ownersOf(Fleet).size() == 1);
 }
 
 /// Starts all instances again: nobody remembers what was spent.
@@ -81,7 +82,7 @@
   const instant Now = Fleet.Now;
   const auto Random = Fleet.Random;
   const std::size_t Spent = Fleet.Spent;
-  Fleet = gatheringFleet(Rate, Rate);
+  Fleet = centralizedFleet(Rate, Rate);
   Fleet.Random = Random;
   Fleet.Spent = Spent;
   for (std::size_t Index = 0; Index < Count; ++Index)
@@ -91,10 +92,10 @@
 }
 
 // Guards against seconds without service after the loss of all.
-Test(gathered_rates, serve_soon_after_all_have_started) {
-  demand_fleet Fleet = gatheringFleet(100, 100);
+Test(centralized_buckets, serve_soon_after_all_have_started) {
+  demand_fleet Fleet = centralizedFleet(100, 100);
   Fleet.load(evenly(60), milliseconds(500));
-  cr_assert(keepersOf(Fleet).size() == 1);
+  cr_assert(ownersOf(Fleet).size() == 1);
   const std::size_t Before = Fleet.Spent;
   const std::size_t Refused = Fleet.load(evenly(60), milliseconds(500));
   cr_assert(Refused * 10 < Refused + Fleet.Spent - Before, "%zu of %zu",
@@ -102,9 +103,9 @@
 }
 
 // Guards against processes that start together and spend a rate again.
-Test(gathered_rates, keep_a_flood_within_the_rate_when_all_start_again) {
+Test(centralized_buckets, keep_a_flood_within_the_rate_when_all_start_again) {
   for (const double Rate : {8.0, 100.0, 1000.0}) {
-    demand_fleet Fleet = gatheringFleet(Rate, Rate);
+    demand_fleet Fleet = centralizedFleet(Rate, Rate);
     Fleet.load(evenly(Rate / 1.6), milliseconds(8000));
     for (const int Before : {500, 1500, 3000}) {
       const std::size_t Spent = Fleet.Spent;
@@ -120,23 +121,23 @@
   }
 }
 
-Test(gathered_rates, are_not_gathered_in_a_small_fleet) {
+Test(centralized_buckets, are_not_used_in_a_small_fleet) {
   demand_fleet Fleet(9);
-  Fleet.Gathers = true;
+  Fleet.Centralizes = true;
   Fleet.load(std::vector<double>(9, 5), milliseconds(3000));
-  cr_assert(!isGathered(Fleet.Shares[0], "acme"));
+  cr_assert(!isCentralized(Fleet.Shares[0], "acme"));
 }
 
-Test(gathered_rates, keep_a_flood_within_the_rate) {
+Test(centralized_buckets, keep_a_flood_within_the_rate) {
   for (const double Rate : {8.0, 100.0, 1000.0}) {
-    demand_fleet Fleet = gatheringFleet(Rate, Rate);
+    demand_fleet Fleet = centralizedFleet(Rate, Rate);
     Fleet.load(evenly(Rate / 1.6), milliseconds(8000));
     cr_assert(keepsRate(Fleet, Rate), "rate %g", Rate);
   }
 }
 
-Test(gathered_rates, serve_a_flood_the_whole_rate) {
-  demand_fleet Fleet = gatheringFleet(100, 100);
+Test(centralized_buckets, serve_a_flood_the_whole_rate) {
+  demand_fleet Fleet = centralizedFleet(100, 100);
   Fleet.load(evenly(300), milliseconds(8000));
   const std::size_t Before = Fleet.Spent;
   Fleet.load(evenly(300), milliseconds(5000));
@@ -144,29 +145,29 @@
 }
 
 // Guards against a second bucket while another instance takes over as keeper.
-Test(gathered_rates, keep_a_flood_within_the_rate_when_the_keeper_dies) {
+Test(centralized_buckets, keep_a_flood_within_the_rate_when_the_owner_dies) {
   for (const double Rate : {8.0, 100.0, 1000.0}) {
-    demand_fleet Fleet = gatheringFleet(Rate, Rate);
+    demand_fleet Fleet = centralizedFleet(Rate, Rate);
     Fleet.load(evenly(Rate / 1.6), milliseconds(8000));
-    Fleet.Dead = keepersOf(Fleet).front();
+    Fleet.Dead = ownersOf(Fleet).front();
     cr_assert(keepsRate(Fleet, Rate), "rate %g", Rate);
-    cr_assert(keepersOf(Fleet).size() == 1);
+    cr_assert(ownersOf(Fleet).size() == 1);
   }
 }
 
 // Guards against a customer that stays refused when its keeper is gone.
-Test(gathered_rates, serve_on_two_seconds_after_the_keeper_died) {
-  demand_fleet Fleet = gatheringFleet(40, 40);
+Test(centralized_buckets, serve_on_two_seconds_after_the_owner_died) {
+  demand_fleet Fleet = centralizedFleet(40, 40);
   Fleet.load(evenly(20), milliseconds(8000));
-  Fleet.Dead = keepersOf(Fleet).front();
+  Fleet.Dead = ownersOf(Fleet).front();
   Fleet.load(evenly(20), milliseconds(2000));
-  cr_assert(refusedPart(Fleet, 20) < 0.01);
+  cr_assert(refusedFraction(Fleet, 20) < 0.01);
 }
 
 // Guards against a keeper, or most of a rate, on each side of a partition.
-Test(gathered_rates, keep_a_flood_within_the_rate_in_a_partition) {
+Test(centralized_buckets, keep_a_flood_within_the_rate_in_a_partition) {
   for (std::size_t Border = 1; Border < Zones; ++Border) {
-    demand_fleet Fleet = gatheringFleet(200, 200);
+    demand_fleet Fleet = centralizedFleet(200, 200);
     Fleet.StoreReached = true;
     Fleet.load(evenly(125), milliseconds(8000));
     for (std::size_t Index = 0; Index < Count; ++Index)
@@ -176,79 +177,80 @@
 }
 
 // Guards against a keeper that goes on beside the next one.
-Test(gathered_rates, keep_a_flood_within_the_rate_when_the_keeper_is_cut_off) {
-  demand_fleet Fleet = gatheringFleet(200, 200);
+Test(centralized_buckets,
+     keep_a_flood_within_the_rate_when_the_owner_is_cut_off) {
+  demand_fleet Fleet = centralizedFleet(200, 200);
   Fleet.StoreReached = true;
   Fleet.load(evenly(125), milliseconds(8000));
-  const std::size_t Keeper = keepersOf(Fleet).front();
-  Fleet.Cut[Keeper] = true;
+  const std::size_t Owner = ownersOf(Fleet).front();
+  Fleet.Cut[Owner] = true;
   cr_assert(keepsRate(Fleet, 200));
-  Fleet.Cut[Keeper] = false;
+  Fleet.Cut[Owner] = false;
   cr_assert(keepsRate(Fleet, 200));
-  cr_assert(keepersOf(Fleet).size() == 1);
+  cr_assert(ownersOf(Fleet).size() == 1);
 }
 
 // Guards against two keepers at the same time, however short.
-Test(gathered_rates, never_have_two_keepers) {
+Test(centralized_buckets, never_have_two_owners) {
   constexpr milliseconds Step{50};
   for (std::size_t Start = 0; Start < 20; ++Start) {
-    demand_fleet Fleet = gatheringFleet(200, 200);
+    demand_fleet Fleet = centralizedFleet(200, 200);
     Fleet.StoreReached = true;
     // The cut falls between heartbeats in another way each time.
     Fleet.load(evenly(125), milliseconds(3000) + Start * Step);
-    const std::size_t Keeper = keepersOf(Fleet).front();
+    const std::size_t Owner = ownersOf(Fleet).front();
     for (const bool Cut : {true, false}) {
-      Fleet.Cut[Keeper] = Cut;
+      Fleet.Cut[Owner] = Cut;
       for (milliseconds Past{0}; Past < milliseconds(4000); Past += Step) {
         Fleet.load(evenly(125), Step);
-        cr_assert(keepersOf(Fleet).size() <= 1, "start %zu, cut %d, %ld ms",
+        cr_assert(ownersOf(Fleet).size() <= 1, "start %zu, cut %d, %ld ms",
                   Start, Cut, static_cast<long>(Past.count()));
       }
     }
-    cr_assert(keepersOf(Fleet) == std::vector<std::size_t>(1, Keeper));
+    cr_assert(ownersOf(Fleet) == std::vector<std::size_t>(1, Owner));
   }
 }
 
-Test(gathered_rates, go_to_another_keeper_when_one_leaves) {
-  demand_fleet Fleet = gatheringFleet(100, 100);
+Test(centralized_buckets, go_to_another_owner_when_one_leaves) {
+  demand_fleet Fleet = centralizedFleet(100, 100);
   Fleet.load(evenly(60), milliseconds(8000));
-  const std::size_t Keeper = keepersOf(Fleet).front();
-  Fleet.leave(Keeper);
+  const std::size_t Owner = ownersOf(Fleet).front();
+  Fleet.leave(Owner);
   cr_assert(keepsRate(Fleet, 100, 1));
-  const auto Keepers = keepersOf(Fleet);
-  cr_assert(Keepers.size() == 1 && Keepers.front() != Keeper);
+  const auto Owners = ownersOf(Fleet);
+  cr_assert(Owners.size() == 1 && Owners.front() != Owner);
 }
 
-Test(gathered_rates, give_urgent_operations_the_last_tokens) {
-  demand_fleet Fleet = gatheringFleet(100, 100);
+Test(centralized_buckets, give_urgent_operations_the_last_tokens) {
+  demand_fleet Fleet = centralizedFleet(100, 100);
   Fleet.load(evenly(400), milliseconds(8000));
-  demand_shares &Shares = keeperShares(Fleet);
+  demand_shares &Shares = ownerShares(Fleet);
   Shares.Accounts.at("acme").Tokens = 5;
-  cr_assert(Shares.Accounts.at("acme").Pressed);
-  const keeper_answer Nothing;
+  cr_assert(Shares.Accounts.at("acme").OverRate);
+  const bucket_owner_answer Nothing;
   cr_assert(
-      !giveToken(Shares, "acme", 2, {}, Fleet.Now).value_or(Nothing).Given);
+      !grantToken(Shares, "acme", 2, {}, Fleet.Now).value_or(Nothing).Granted);
   cr_assert(
-      giveToken(Shares, "acme", 0, {}, Fleet.Now).value_or(Nothing).Given);
+      grantToken(Shares, "acme", 0, {}, Fleet.Now).value_or(Nothing).Granted);
 }
 
-Test(gathered_rates, tell_when_there_is_a_token) {
-  demand_fleet Fleet = gatheringFleet(10, 10);
+Test(centralized_buckets, tell_when_there_is_a_token) {
+  demand_fleet Fleet = centralizedFleet(10, 10);
   Fleet.load(evenly(40), milliseconds(8000));
-  demand_shares &Shares = keeperShares(Fleet);
+  demand_shares &Shares = ownerShares(Fleet);
   Shares.Accounts.at("acme").Tokens = 0;
-  const auto Answer =
-      giveToken(Shares, "acme", 0, {}, Fleet.Now).value_or(keeper_answer{true});
-  cr_assert(!Answer.Given);
+  const auto Answer = grantToken(Shares, "acme", 0, {}, Fleet.Now)
+                          .value_or(bucket_owner_answer{true});
+  cr_assert(!Answer.Granted);
   // One token at ten a second, and the slack above the rate.
   cr_assert(Answer.Wait > milliseconds(90) && Answer.Wait < milliseconds(101));
 }
 
-Test(gathered_rates, are_given_by_the_keeper_only) {
-  demand_fleet Fleet = gatheringFleet(10, 10);
+Test(centralized_buckets, are_given_by_the_owner_only) {
+  demand_fleet Fleet = centralizedFleet(10, 10);
   Fleet.load(evenly(5), milliseconds(8000));
-  const std::size_t Keeper = keepersOf(Fleet).front();
-  const std::size_t Other = Keeper == 0 ? 1 : 0;
-  cr_assert(!giveToken(Fleet.Shares[Other], "acme", 0, {}, Fleet.Now));
-  cr_assert(!giveToken(Fleet.Shares[Keeper], "unknown", 0, {}, Fleet.Now));
+  const std::size_t Owner = ownersOf(Fleet).front();
+  const std::size_t Other = Owner == 0 ? 1 : 0;
+  cr_assert(!grantToken(Fleet.Shares[Other], "acme", 0, {}, Fleet.Now));
+  cr_assert(!grantToken(Fleet.Shares[Owner], "unknown", 0, {}, Fleet.Now));
 }
--- a/tests/control/demand_fleet.hpp
+++ b/tests/control/demand_fleet.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
+#include "redwinggw/control/centralized_buckets.hpp"
 #include "redwinggw/control/demand_shares.hpp"
-#include "redwinggw/control/gathered_rates.hpp"
 
 #include <algorithm>
 #include <cstdint>
@@ -72,10 +72,12 @@
       if (Ticks % 4 == 0) {
         divideRates(Shares[Index], Members[Index],
                     StoreReached || hearsMajority(Members[Index], Now), Now);
-        if (Gathers)
-          gatherRates(Shares[Index], Members[Index],
-                      StoreReached || hearsMajority(Members[Index], Now), Now);
-        Members[Index].Local.Gathers = hasGathered(Shares[Index], Now);
+        if (Centralizes)
+          centralizeBuckets(Shares[Index], Members[Index],
+                            StoreReached || hearsMajority(Members[Index], Now),
+                            Now);
+        Members[Index].Local.Gathers =
+            hasCentralizedBuckets(Shares[Index], Now);
         Members[Index].ZoneDigest.Demands = zoneDemands(Shares[Index]);
         Members[Index].FleetDigest.Demands = fleetDemands(Shares[Index]);
       }
@@ -103,18 +105,18 @@
     const bool Here =
         takeDemandToken(Shares[Index], "acme", Priority, milliseconds(50), Now)
             .Admitted;
-    if (Here || !isGathered(Shares[Index], "acme"))
+    if (Here || !isCentralized(Shares[Index], "acme"))
       return Here;
-    const member *Keeper = rateKeeper(Shares[Index], Members[Index], "acme");
-    return Keeper != nullptr && askKeeper(Index, *Keeper, Priority);
+    const member *Owner = bucketOwner(Shares[Index], Members[Index], "acme");
+    return Owner != nullptr && askOwner(Index, *Owner, Priority);
   }
 
-  bool askKeeper(std::size_t Index, const member &Keeper, unsigned Priority) {
-    const std::size_t To = std::stoul(Keeper.Name.substr(1));
-    std::optional<keeper_answer> Answer;
+  bool askOwner(std::size_t Index, const member &Owner, unsigned Priority) {
+    const std::size_t To = std::stoul(Owner.Name.substr(1));
+    std::optional<bucket_owner_answer> Answer;
     if (!isDead(To) && Cut[To] == Cut[Index])
-      Answer = giveToken(Shares[To], "acme", Priority, milliseconds(50), Now);
-    return Answer && verdictOf(Shares[Index], "acme", *Answer).Admitted;
+      Answer = grantToken(Shares[To], "acme", Priority, milliseconds(50), Now);
+    return Answer && verdictFromOwner(Shares[Index], "acme", *Answer).Admitted;
   }
 
   /// Poisson arrivals at \p Rates, by instance, for \p Time. Answers the
@@ -141,7 +143,7 @@
   std::size_t Dead = SIZE_MAX;
   std::vector<std::size_t> AlsoDead;
   /// Rates are gathered at keepers where the fleet has relays.
-  bool Gathers = false;
+  bool Centralizes = false;
   std::size_t Ticks = 0;
   std::size_t Spent = 0;
   std::mt19937_64 Random{7};
--- a/tests/control/demand_relays_test.cpp
+++ b/tests/control/demand_relays_test.cpp
@@ -18,11 +18,11 @@
   return Relays;
 }
 
-double partsOf(const demand_fleet &Fleet) {
+double sumOfShares(const demand_fleet &Fleet) {
   double Sum = 0;
   for (std::size_t Index = 0; Index < Count; ++Index)
     if (!Fleet.isDead(Index))
-      Sum += Fleet.Shares[Index].Accounts.at("acme").Part;
+      Sum += Fleet.Shares[Index].Accounts.at("acme").Share;
   return Sum;
 }
 
@@ -47,8 +47,8 @@
 Test(demand_relays, divide_the_whole_rate_once) {
   demand_fleet Fleet = relayedFleet(2000, 2000);
   Fleet.load(unevenly(), milliseconds(8000));
-  cr_assert(partsOf(Fleet) > 0.9 && partsOf(Fleet) < 1.04, "%f",
-            partsOf(Fleet));
+  cr_assert(sumOfShares(Fleet) > 0.9 && sumOfShares(Fleet) < 1.04, "%f",
+            sumOfShares(Fleet));
 }
 
 Test(demand_relays, serve_a_customer_within_its_rate) {
--- a/tests/control/demand_shares_test.cpp
+++ b/tests/control/demand_shares_test.cpp
@@ -93,7 +93,7 @@
 
 // Two halves, one without the store: the other must not be held to half of its
 // rate, or it refuses callers that are within theirs.
-Test(demand_shares, leave_its_part_to_a_half_that_reaches_the_store) {
+Test(demand_shares, leave_its_share_to_a_half_that_reaches_the_store) {
   demand_fleet Fleet(6);
   Fleet.StoreReached = true;
   Fleet.load({10, 10, 10, 10, 10, 10}, milliseconds(8000));
@@ -176,7 +176,7 @@
 
 // An instance dies and its callers go to the others, which refuse little:
 // there is room between the demand and the rate.
-Test(demand_shares, outlive_an_instance) {
+Test(demand_shares, tolerate_the_loss_of_an_instance) {
   demand_fleet Fleet(6);
   Fleet.load({10, 10, 10, 10, 10, 10}, milliseconds(8000));
   Fleet.Dead = 5;
