--- a/packages/control/include/redwinggw/control/share_giver.hpp
+++ b/packages/control/include/redwinggw/control/share_allocator.hpp
@@ -18,12 +18,12 @@
 using share_plans = std::map<base::customer_name, share_plan, std::less<>>;
 
 /// Not thread safe.
-struct share_giver {
+struct share_allocator {
   share_limits Limits;
   std::uint16_t Partitions = 1;
   std::map<base::customer_name, share_bucket, std::less<>> Buckets;
   /// Tokens given since the start.
-  double Given = 0;
+  double Allocated = 0;
 };
 
 /// The partition of \p Customer; the same in all instances.
@@ -33,31 +33,31 @@
 struct partition_start {
   std::vector<saved_level> Levels;
   /// Nobody ever gave for this partition: the buckets are full.
-  bool First = false;
+  bool NeverHeld = false;
 };
 
 /// Begins to give for \p Partition. Buckets start from the levels that the
 /// former giver left; without a level they are empty, since what a giver that
 /// died had given is not known: all its grants are dead by now, and what it
 /// could still have given until now is more than an empty bucket.
-void startPartition(share_giver &Giver, const share_plans &Plans,
+void startPartition(share_allocator &Allocator, const share_plans &Plans,
                     std::uint16_t Partition, const partition_start &Start,
                     base::instant Now);
 
 /// Forgets the buckets of \p Partition.
-void dropPartition(share_giver &Giver, std::uint16_t Partition);
+void dropPartition(share_allocator &Allocator, std::uint16_t Partition);
 
 /// What the buckets of \p Partition hold, for the next giver.
-std::vector<saved_level> levelsOf(share_giver &Giver, std::uint16_t Partition,
-                                  base::instant Now);
+std::vector<saved_level> levelsOf(share_allocator &Allocator,
+                                  std::uint16_t Partition, base::instant Now);
 
 /// Changes rates and bursts. \p Holds tells which partitions are held here.
-void applyGiverPlans(share_giver &Giver, const share_plans &Plans,
-                     const std::function<bool(std::uint16_t)> &Holds,
-                     base::instant Now);
+void applyAllocatorPlans(share_allocator &Allocator, const share_plans &Plans,
+                         const std::function<bool(std::uint16_t)> &Holds,
+                         base::instant Now);
 
 /// Answers a request. Precondition: the lease of its partition allows it now.
-wire::share_message grant(share_giver &Giver,
+wire::share_message grant(share_allocator &Allocator,
                           const wire::share_message &Request,
                           base::instant Now);
 
--- a/packages/control/include/redwinggw/control/share_bucket.hpp
+++ b/packages/control/include/redwinggw/control/share_bucket.hpp
@@ -27,7 +27,7 @@
   /// Switched off by tests only: outstanding grants do not fill the bucket.
   bool CountOutstanding = true;
   /// Switched off by tests only: a holder spends lapsed tokens too.
-  bool HeedExpiry = true;
+  bool CheckExpiry = true;
   /// Switched off by tests only: a holder takes doubled and unasked grants.
   bool MatchNumbers = true;
 };
@@ -71,8 +71,8 @@
              const share_limits &Limits);
 
 /// Takes up to \p Wanted whole tokens out and counts them as outstanding.
-double give(share_bucket &Bucket, double Wanted, base::instant Now,
-            const share_limits &Limits);
+double allocateTokens(share_bucket &Bucket, double Wanted, base::instant Now,
+                      const share_limits &Limits);
 
 /// Time until a whole token can be there; zero when it is.
 base::microseconds timeToToken(const share_bucket &Bucket, base::instant Now);
--- a/packages/control/include/redwinggw/control/share_holder.hpp
+++ b/packages/control/include/redwinggw/control/share_consumer.hpp
@@ -16,20 +16,20 @@
 /// The tokens that one instance holds and the requests that wait for some.
 namespace redwinggw::control {
 
-struct holder_limits {
+struct consumer_limits {
   /// Demand is averaged over this time and asked for ahead for that one.
   base::microseconds DemandWindow{100'000};
   /// At most half a Ttl, or the tokens would lapse.
-  base::microseconds Horizon{125'000};
+  base::microseconds RequestAhead{125'000};
   /// An unanswered request is taken for lost.
   base::microseconds ResendAfter{40'000};
   /// A request goes on waiting for so long after the giver had no token. The
   /// outstanding grants keep the giver's bucket behind that of a single
   /// process by at most a Ttl, so a request inside the rate finds its token.
-  base::microseconds Patience{500'000};
+  base::microseconds MaxWait{500'000};
   /// A giver that did not answer for so long has left a backlog of requests
   /// that may be inside the rate: these wait up to their deadline.
-  base::microseconds Silence{200'000};
+  base::microseconds OutageTime{200'000};
   std::size_t MaxWaiters = 10'000;
 };
 
@@ -56,11 +56,11 @@
   double Demand = 0;
   base::instant DemandAt;
   /// The giver had nothing: ask again then.
-  base::instant NextAskAt;
+  base::instant NextRequestAt;
   /// The first request since the giver's last answer.
   std::optional<base::instant> UnansweredSince;
   /// Until then requests are refused at their deadline only.
-  base::instant PatientUntil;
+  base::instant RefuseAtDeadlineUntil;
 };
 
 /// A request to a giver that may still be answered.
@@ -79,18 +79,18 @@
   base::microseconds RetryAfter{0};
 };
 
-struct holder_counters {
+struct consumer_counters {
   std::uint64_t Spent = 0;
   std::uint64_t Refused = 0;
   std::uint64_t RefusedUnanswered = 0;
   /// Tokens that lapsed unspent.
   double Lapsed = 0;
-  std::uint64_t UnaskedGrants = 0;
+  std::uint64_t UnexpectedGrants = 0;
 };
 
 /// Not thread safe.
-struct share_holder {
-  holder_limits Limits;
+struct share_consumer {
+  consumer_limits Limits;
   share_limits Shares;
   std::map<base::customer_name, share_account, std::less<>> Accounts;
   /// Customers with demand, tokens or requests that wait; the others cost
@@ -99,34 +99,35 @@
   std::vector<share_request> Requests;
   std::uint64_t LastNumber = 0;
   std::uint64_t LastTicket = 0;
-  holder_counters Counters;
+  consumer_counters Counters;
 };
 
 /// Spends a token of \p Customer that is here. Requests that wait go first.
-bool takeToken(share_holder &Holder, std::string_view Customer,
+bool takeToken(share_consumer &Consumer, std::string_view Customer,
                base::instant Now);
 
 /// Lets a request wait; answers its ticket. Its verdict comes from onGrant or
 /// dueVerdicts. Precondition: the customer has an account.
-std::uint64_t waitForToken(share_holder &Holder, std::string_view Customer,
+std::uint64_t waitForToken(share_consumer &Consumer, std::string_view Customer,
                            base::instant Now, base::instant Deadline);
 
 /// The requests to send now, one a partition at most, with numbers given.
-std::vector<wire::share_message> dueRequests(share_holder &Holder,
+std::vector<wire::share_message> dueRequests(share_consumer &Consumer,
                                              base::instant Now);
 
 /// Takes in a grant. Guards against doubled and late ones: only the first
 /// answer to a request counts, and its tokens lapse a Ttl after the request
 /// was sent, on this clock.
-std::vector<share_verdict> onGrant(share_holder &Holder,
+std::vector<share_verdict> onGrant(share_consumer &Consumer,
                                    const wire::share_message &Grant,
                                    base::instant Now);
 
 /// Forgets the request that \p Answer answers without tokens, so that the
 /// next goes out. False when it was not asked or too old.
-bool dropRequest(share_holder &Holder, const wire::share_message &Answer);
+bool dropRequest(share_consumer &Consumer, const wire::share_message &Answer);
 
 /// The verdicts on requests whose time is over.
-std::vector<share_verdict> dueVerdicts(share_holder &Holder, base::instant Now);
+std::vector<share_verdict> dueVerdicts(share_consumer &Consumer,
+                                       base::instant Now);
 
 } // namespace redwinggw::control
--- a/packages/control/include/redwinggw/control/share_lease.hpp
+++ b/packages/control/include/redwinggw/control/share_lease.hpp
@@ -41,16 +41,16 @@
   base::microseconds Ttl{250'000};
   /// Another instance must be the preferred giver for so long before the
   /// lease is handed over.
-  base::microseconds MoveAfter{3'000'000};
+  base::microseconds HandOverAfter{3'000'000};
   /// A lease is handed over only so soon after a renewal was sent that took
   /// effect: the holder stops giving before it releases, and when the store
   /// has gone down nobody could take over.
-  base::microseconds MoveWithin{150'000};
+  base::microseconds HandOverWithin{150'000};
   /// Switched off by tests only.
   bool TakerWaits = true;
-  bool HolderHeedsEnd = true;
+  bool HolderChecksEnd = true;
   bool ExtensionNeedsMajority = true;
-  bool ExtensionHeedsContact = true;
+  bool ExtensionChecksContact = true;
   bool CountFromSending = true;
 };
 
@@ -81,11 +81,11 @@
   lease_row Row;
   base::instant SentAt;
   /// It takes the lease rather than renews or releases it.
-  bool Takes = false;
+  bool TakesOver = false;
   /// What the former holder left, when it takes the lease.
-  std::vector<saved_level> Start;
+  std::vector<saved_level> InitialLevels;
   /// There was no row: nobody ever gave.
-  bool First = false;
+  bool NeverHeld = false;
 };
 
 /// Not thread safe.
@@ -98,21 +98,21 @@
   base::instant ObservedAt;
   /// Since then our heartbeats say that the store answered us after the end
   /// of the holder's lease.
-  std::optional<base::instant> ToldSince;
+  std::optional<base::instant> AnnouncedSince;
   /// Since then it may be taken.
-  std::optional<base::instant> TakeAt;
+  std::optional<base::instant> TakeOverAt;
   bool Holding = false;
   base::instant ValidUntil;
   /// Stopped giving; the release is not yet known to be in the store.
   std::optional<std::vector<saved_level>> Releasing;
   /// The commit under way, and former ones that may still take effect.
   std::optional<lease_commit> Pending;
-  std::vector<lease_commit> Tried;
+  std::vector<lease_commit> Unresolved;
   /// After a failed commit: not before then.
   base::instant RetryAt;
   /// The levels to start from, after lease_change::Taken.
-  std::vector<saved_level> Start;
-  bool First = false;
+  std::vector<saved_level> InitialLevels;
+  bool NeverHeld = false;
   /// How often the next giver was told of the release.
   unsigned Announcements = 0;
   base::instance_name Preferred;
@@ -129,8 +129,8 @@
                   base::instant Now);
 
 /// True when the holder should release: another one is preferred for long.
-bool shouldMove(const share_lease &Lease, const base::instance_name &Self,
-                const lease_limits &Limits, base::instant Now);
+bool shouldHandOver(const share_lease &Lease, const base::instance_name &Self,
+                    const lease_limits &Limits, base::instant Now);
 
 /// Stops holding for good, with what the buckets held. Precondition: Holding.
 void release(share_lease &Lease, std::vector<saved_level> Levels);
@@ -155,8 +155,8 @@
                    const lease_limits &Limits, base::instant Now);
 
 /// True when this instance may give at \p Now. Check it for each grant.
-bool mayGive(const share_lease &Lease, const membership &Membership,
-             const lease_limits &Limits, base::instant Now);
+bool mayAllocate(const share_lease &Lease, const membership &Membership,
+                 const lease_limits &Limits, base::instant Now);
 
 /// True when the row should be read soon.
 bool needsRow(const share_lease &Lease, const base::instance_name &Self);
--- a/packages/control/include/redwinggw/control/share_node.hpp
+++ b/packages/control/include/redwinggw/control/share_node.hpp
@@ -2,8 +2,8 @@
 
 #include "redwinggw/control/configuration.hpp"
 #include "redwinggw/control/membership.hpp"
-#include "redwinggw/control/share_giver.hpp"
-#include "redwinggw/control/share_holder.hpp"
+#include "redwinggw/control/share_allocator.hpp"
+#include "redwinggw/control/share_consumer.hpp"
 #include "redwinggw/control/share_lease.hpp"
 
 #include <cstdint>
@@ -20,7 +20,7 @@
 struct share_settings {
   std::uint16_t Partitions = 16;
   share_limits Shares;
-  holder_limits Holder;
+  consumer_limits Consumer;
   lease_limits Lease;
   base::microseconds ReadEvery{500'000};
   base::microseconds LeaseEvery{50'000};
@@ -48,15 +48,15 @@
   std::uint64_t Incarnation = 0;
   bool Draining = false;
   share_plans Plans;
-  share_holder Holder;
+  share_consumer Consumer;
   std::vector<share_lease> Leases;
-  share_giver Giver;
+  share_allocator Allocator;
   /// Who said to give a partition, and until when that is believed.
-  struct giver_hint {
-    base::instance_name Giver;
+  struct allocator_hint {
+    base::instance_name Allocator;
     base::instant Until;
   };
-  std::map<std::uint16_t, giver_hint> Hints;
+  std::map<std::uint16_t, allocator_hint> Hints;
   /// Partitions in the commit under way, in its order.
   std::vector<std::uint16_t> Committing;
   std::uint64_t LastId = 0;
@@ -78,8 +78,8 @@
                           base::instant Now);
 
 /// The requests due for tokens only; call after waitForToken.
-share_actions askForTokens(share_node &Node, const membership &Membership,
-                           base::instant Now);
+share_actions requestTokens(share_node &Node, const membership &Membership,
+                            base::instant Now);
 
 /// Takes in a share message from \p From.
 share_actions onShareMessage(share_node &Node, const membership &Membership,
--- a/packages/control/include/redwinggw/control/share_service.hpp
+++ b/packages/control/include/redwinggw/control/share_service.hpp
@@ -14,7 +14,7 @@
 #include <string_view>
 
 /// Rate and burst of each customer over the whole fleet: the shell around
-/// share_holder.hpp, share_giver.hpp and share_lease.hpp.
+/// share_consumer.hpp, share_allocator.hpp and share_lease.hpp.
 namespace redwinggw::control {
 
 /// How the rate is shared out.
@@ -32,7 +32,7 @@
 /// For the status page and the metrics.
 struct share_status {
   /// Tokens given to holders, spent here, requests refused here.
-  double Given = 0;
+  double Allocated = 0;
   std::uint64_t Spent = 0;
   std::uint64_t Refused = 0;
   /// Refused although the giver never answered: may have been inside the rate.
--- a/packages/control/src/share_bucket.cpp
+++ b/packages/control/src/share_bucket.cpp
@@ -12,7 +12,7 @@
 
 constexpr double MicrosecondsPerSecond = 1e6;
 /// Part of the burst that is outstanding at the full rate.
-constexpr double OutstandingPart = 0.25;
+constexpr double OutstandingFraction = 0.25;
 
 double seconds(microseconds Time) {
   return static_cast<double>(Time.count()) / MicrosecondsPerSecond;
@@ -43,7 +43,7 @@
 share_plan planOf(double Rate, double Burst, const share_limits &Limits) {
   share_plan Plan{Rate, Burst, Limits.MaxTtl};
   if (Rate > 0)
-    Plan.Ttl = std::clamp(inMicroseconds(OutstandingPart * Burst / Rate),
+    Plan.Ttl = std::clamp(inMicroseconds(OutstandingFraction * Burst / Rate),
                           Limits.MinTtl, Limits.MaxTtl);
   return Plan;
 }
@@ -72,19 +72,19 @@
   Bucket.Tokens = std::clamp(Bucket.Tokens, 0.0, std::max(0.0, Room));
 }
 
-double give(share_bucket &Bucket, double Wanted, instant Now,
-            const share_limits &Limits) {
+double allocateTokens(share_bucket &Bucket, double Wanted, instant Now,
+                      const share_limits &Limits) {
   advance(Bucket, Now, Limits);
-  const double Given = std::floor(std::min(Bucket.Tokens, Wanted));
-  if (Given < 1)
+  const double Allocated = std::floor(std::min(Bucket.Tokens, Wanted));
+  if (Allocated < 1)
     return 0;
-  Bucket.Tokens -= Given;
+  Bucket.Tokens -= Allocated;
   // A plan with a shorter Ttl may have come since the last grant.
-  const outstanding_grant Grant{Now + Bucket.Plan.Ttl, Given};
+  const outstanding_grant Grant{Now + Bucket.Plan.Ttl, Allocated};
   const auto At = std::ranges::upper_bound(Bucket.Outstanding, Grant.Until, {},
                                            &outstanding_grant::Until);
   Bucket.Outstanding.insert(At, Grant);
-  return Given;
+  return Allocated;
 }
 
 microseconds timeToToken(const share_bucket &Bucket, instant Now) {
--- a/packages/control/src/share_lease.cpp
+++ b/packages/control/src/share_lease.cpp
@@ -14,7 +14,7 @@
 using base::microseconds;
 
 /// Commits that are remembered for reading back.
-constexpr std::size_t MaxTried = 16;
+constexpr std::size_t MaxUnresolved = 16;
 
 json::value toJson(const saved_level &Level) {
   return {{"customer", Level.Customer},
@@ -28,7 +28,7 @@
           Value.at("outstanding").to_number<double>()};
 }
 
-lease_change holdNothing(share_lease &Lease) {
+lease_change stopHolding(share_lease &Lease) {
   const bool Held = std::exchange(Lease.Holding, false);
   return Held ? lease_change::Lost : lease_change::None;
 }
@@ -38,13 +38,13 @@
                    const lease_limits &Limits, instant Now) {
   if (Commit.Row.Released) {
     Lease.Releasing.reset();
-    return holdNothing(Lease);
+    return stopHolding(Lease);
   }
   if (Lease.Releasing)
     return lease_change::None;
   const bool Held = std::exchange(Lease.Holding, true);
-  Lease.Start = Commit.Start;
-  Lease.First = Commit.First;
+  Lease.InitialLevels = Commit.InitialLevels;
+  Lease.NeverHeld = Commit.NeverHeld;
   const instant From = Limits.CountFromSending ? Commit.SentAt : Now;
   Lease.ValidUntil = From + Limits.Length;
   return Held ? lease_change::None : lease_change::Taken;
@@ -56,13 +56,13 @@
   Lease.Version = Version;
   Lease.Row = std::move(Row);
   Lease.ObservedAt = Now;
-  Lease.TakeAt.reset();
-  Lease.ToldSince.reset();
+  Lease.TakeOverAt.reset();
+  Lease.AnnouncedSince.reset();
 }
 
 /// Whether the holder's time is over for sure; see the head of the header.
-bool mayTake(share_lease &Lease, const membership &Membership,
-             const lease_limits &Limits, instant Now) {
+bool mayTakeOver(share_lease &Lease, const membership &Membership,
+                 const lease_limits &Limits, instant Now) {
   if (Lease.Version == 0 || Lease.Row.Released || !Limits.TakerWaits)
     return true;
   const instant Ended = Lease.ObservedAt + Limits.Length + Limits.Margin;
@@ -72,16 +72,16 @@
   const bool MayBeExtended =
       Membership.Members.size() <= 2 * Membership.Limits.DirectLimit;
   const auto Contact = Membership.Store.OwnContactAt;
-  if (!Lease.ToldSince && Contact && *Contact >= Ended)
-    Lease.ToldSince = Now;
-  const bool Told =
-      Lease.ToldSince && majorityGot(Membership, *Lease.ToldSince);
-  if (!Lease.TakeAt && (!MayBeExtended || Told))
-    Lease.TakeAt =
+  if (!Lease.AnnouncedSince && Contact && *Contact >= Ended)
+    Lease.AnnouncedSince = Now;
+  const bool Announced =
+      Lease.AnnouncedSince && majorityGot(Membership, *Lease.AnnouncedSince);
+  if (!Lease.TakeOverAt && (!MayBeExtended || Announced))
+    Lease.TakeOverAt =
         Now +
         (MayBeExtended ? Membership.Limits.HearBound : base::milliseconds(0)) +
         Limits.Ttl + Limits.Margin;
-  return Lease.TakeAt && Now >= *Lease.TakeAt;
+  return Lease.TakeOverAt && Now >= *Lease.TakeOverAt;
 }
 
 bool isRenewalDue(const share_lease &Lease, const lease_limits &Limits,
@@ -128,12 +128,12 @@
   Lease.PreferredSince = Now;
 }
 
-bool shouldMove(const share_lease &Lease, const base::instance_name &Self,
-                const lease_limits &Limits, instant Now) {
+bool shouldHandOver(const share_lease &Lease, const base::instance_name &Self,
+                    const lease_limits &Limits, instant Now) {
   const instant RenewedAt = Lease.ValidUntil - Limits.Length;
   return Lease.Preferred != Self &&
-         Now - Lease.PreferredSince >= Limits.MoveAfter &&
-         Now - RenewedAt <= Limits.MoveWithin;
+         Now - Lease.PreferredSince >= Limits.HandOverAfter &&
+         Now - RenewedAt <= Limits.HandOverWithin;
 }
 
 void release(share_lease &Lease, std::vector<saved_level> Levels) {
@@ -161,11 +161,11 @@
       return std::nullopt;
   } else {
     if (Draining || Lease.Preferred != Self ||
-        !mayTake(Lease, Membership, Limits, Now))
+        !mayTakeOver(Lease, Membership, Limits, Now))
       return std::nullopt;
-    Commit.Takes = true;
-    Commit.Start = Lease.Row.Levels;
-    Commit.First = Lease.Version == 0;
+    Commit.TakesOver = true;
+    Commit.InitialLevels = Lease.Row.Levels;
+    Commit.NeverHeld = Lease.Version == 0;
   }
   Lease.Pending = Commit;
   return Commit.Row;
@@ -177,7 +177,7 @@
   if (!Commit)
     return lease_change::None;
   observe(Lease, Version, Commit->Row, Now);
-  Lease.Tried.clear();
+  Lease.Unresolved.clear();
   return adopt(Lease, *Commit, Limits, Now);
 }
 
@@ -187,9 +187,9 @@
   if (!Commit)
     return;
   Lease.RetryAt = Now + Limits.RetryEvery;
-  Lease.Tried.push_back(*Commit);
-  if (Lease.Tried.size() > MaxTried)
-    Lease.Tried.erase(Lease.Tried.begin());
+  Lease.Unresolved.push_back(*Commit);
+  if (Lease.Unresolved.size() > MaxUnresolved)
+    Lease.Unresolved.erase(Lease.Unresolved.begin());
 }
 
 lease_change onRow(share_lease &Lease, const storage::row &Row,
@@ -199,7 +199,7 @@
   observe(Lease, Row.Version, parseLeaseRow(Row.Value).value_or(lease_row{}),
           Now);
   // The read may have overtaken the answer to the commit under way.
-  std::vector<lease_commit> Ours = Lease.Tried;
+  std::vector<lease_commit> Ours = Lease.Unresolved;
   if (Lease.Pending)
     Ours.push_back(*Lease.Pending);
   const auto Found = std::ranges::find(
@@ -207,26 +207,26 @@
   if (Found != Ours.end())
     return adopt(Lease, *Found, Limits, Now);
   Lease.Releasing.reset();
-  return holdNothing(Lease);
+  return stopHolding(Lease);
 }
 
-bool mayGive(const share_lease &Lease, const membership &Membership,
-             const lease_limits &Limits, instant Now) {
+bool mayAllocate(const share_lease &Lease, const membership &Membership,
+                 const lease_limits &Limits, instant Now) {
   if (!Lease.Holding)
     return false;
-  if (Now < Lease.ValidUntil || !Limits.HolderHeedsEnd)
+  if (Now < Lease.ValidUntil || !Limits.HolderChecksEnd)
     return true;
   const bool Majority =
       !Limits.ExtensionNeedsMajority || hearsMajority(Membership, Now);
   const auto Contact = lastContact(Membership.Store);
-  const bool NoContact =
-      !Limits.ExtensionHeedsContact || !Contact || *Contact <= Lease.ValidUntil;
+  const bool NoContact = !Limits.ExtensionChecksContact || !Contact ||
+                         *Contact <= Lease.ValidUntil;
   return Membership.Members.size() <= Membership.Limits.DirectLimit &&
          Majority && NoContact;
 }
 
 bool needsRow(const share_lease &Lease, const base::instance_name &Self) {
-  if (!Lease.Known || !Lease.Tried.empty())
+  if (!Lease.Known || !Lease.Unresolved.empty())
     return true;
   return !Lease.Holding && (Lease.Preferred == Self || Lease.Standby == Self);
 }
--- a/packages/control/src/share_node.cpp
+++ b/packages/control/src/share_node.cpp
@@ -13,12 +13,12 @@
 
 constexpr microseconds HintTime{1'000'000};
 /// An instance whose last read of the store is older does not see it.
-constexpr milliseconds SeesStoreWithin{3'000};
+constexpr milliseconds MaxStoreReadAge{3'000};
 
 bool seesStore(const member &Member, instant Now) {
   return Member.ArrivedAt && Member.Report.StoreReadAge != wire::NoAge &&
          milliseconds(Member.Report.StoreReadAge) + (Now - *Member.ArrivedAt) <=
-             SeesStoreWithin;
+             MaxStoreReadAge;
 }
 
 /// An instance that could give, with the hash of its name.
@@ -43,7 +43,7 @@
   if (!Node.Draining) {
     Live.push_back({&Node.Self, wire::hashOf(Node.Self)});
     const auto ReadAt = Membership.Store.ReadAt;
-    if (ReadAt && Now - *ReadAt <= SeesStoreWithin)
+    if (ReadAt && Now - *ReadAt <= MaxStoreReadAge)
       Seeing.push_back(Live.back());
   }
   return Seeing.empty() ? Live : Seeing;
@@ -82,10 +82,10 @@
 void onChange(share_node &Node, const share_lease &Lease, lease_change Change,
               instant Now) {
   if (Change == lease_change::Taken)
-    startPartition(Node.Giver, Node.Plans, Lease.Partition,
-                   {Lease.Start, Lease.First}, Now);
+    startPartition(Node.Allocator, Node.Plans, Lease.Partition,
+                   {Lease.InitialLevels, Lease.NeverHeld}, Now);
   if (Change == lease_change::Lost)
-    dropPartition(Node.Giver, Lease.Partition);
+    dropPartition(Node.Allocator, Lease.Partition);
 }
 
 void stepLeases(share_node &Node, const membership &Membership, instant Now) {
@@ -95,12 +95,12 @@
     ranking Ranking = rank(Candidates, Lease.Partition);
     setPreferred(Lease, Ranking.First, Now);
     Lease.Standby = std::move(Ranking.Second);
-    const bool Moves =
-        Node.Draining || shouldMove(Lease, Node.Self, Limits, Now);
-    if (!Lease.Holding || !Moves)
+    const bool HandsOver =
+        Node.Draining || shouldHandOver(Lease, Node.Self, Limits, Now);
+    if (!Lease.Holding || !HandsOver)
       continue;
-    release(Lease, levelsOf(Node.Giver, Lease.Partition, Now));
-    dropPartition(Node.Giver, Lease.Partition);
+    release(Lease, levelsOf(Node.Allocator, Lease.Partition, Now));
+    dropPartition(Node.Allocator, Lease.Partition);
   }
 }
 
@@ -144,9 +144,10 @@
 /// an old one may name an instance that is long gone. In a store outage nobody
 /// can watch it, and nobody can take the lease either: then the holder of the
 /// last row that was seen is the one to ask, if it is alive.
-wire::share_message moved(const share_node &Node, const membership &Membership,
-                          const share_lease &Lease,
-                          const wire::share_message &Request, instant Now) {
+wire::share_message redirect(const share_node &Node,
+                             const membership &Membership,
+                             const share_lease &Lease,
+                             const wire::share_message &Request, instant Now) {
   wire::share_message Answer = answerTo(Request, wire::share_kind::Moved);
   const bool Fresh = Now - Lease.ObservedAt <= Node.Settings.Lease.Length;
   const bool Askable = Fresh || isAlive(Membership, Lease.Row.Holder);
@@ -155,28 +156,30 @@
   return Answer;
 }
 
-wire::share_message answer(share_node &Node, const membership &Membership,
-                           const wire::share_message &Request, instant Now) {
+wire::share_message answerRequest(share_node &Node,
+                                  const membership &Membership,
+                                  const wire::share_message &Request,
+                                  instant Now) {
   const share_lease &Lease = Node.Leases[Request.Partition];
-  return mayGive(Lease, Membership, Node.Settings.Lease, Now)
-             ? grant(Node.Giver, Request, Now)
-             : moved(Node, Membership, Lease, Request, Now);
+  return mayAllocate(Lease, Membership, Node.Settings.Lease, Now)
+             ? grant(Node.Allocator, Request, Now)
+             : redirect(Node, Membership, Lease, Request, Now);
 }
 
-base::instance_name giverOf(const share_node &Node, std::uint16_t Partition,
-                            instant Now) {
+base::instance_name allocatorOf(const share_node &Node, std::uint16_t Partition,
+                                instant Now) {
   const share_lease &Lease = Node.Leases[Partition];
   if (Lease.Holding)
     return Node.Self;
   const auto Hint = Node.Hints.find(Partition);
   const bool Hinted = Hint != Node.Hints.end() && Now < Hint->second.Until;
-  return Hinted ? Hint->second.Giver : Lease.Preferred;
+  return Hinted ? Hint->second.Allocator : Lease.Preferred;
 }
 
-void takeAnswer(share_node &Node, const wire::share_message &Message,
-                instant Now, share_actions &Actions) {
+void handleAnswer(share_node &Node, const wire::share_message &Message,
+                  instant Now, share_actions &Actions) {
   if (Message.Kind == wire::share_kind::Grant) {
-    std::ranges::move(onGrant(Node.Holder, Message, Now),
+    std::ranges::move(onGrant(Node.Consumer, Message, Now),
                       std::back_inserter(Actions.Verdicts));
     return;
   }
@@ -184,7 +187,7 @@
   // next one; a hint makes that one go out at once to another instance.
   if (Message.Giver.empty() || Message.Giver == Node.Self)
     Node.Hints.erase(Message.Partition);
-  else if (dropRequest(Node.Holder, Message))
+  else if (dropRequest(Node.Consumer, Message))
     Node.Hints[Message.Partition] = {Message.Giver, Now + HintTime};
 }
 
@@ -196,10 +199,10 @@
   Node.Settings = Settings;
   Node.Self = Self;
   Node.Incarnation = Incarnation;
-  Node.Holder.Limits = Settings.Holder;
-  Node.Holder.Shares = Settings.Shares;
-  Node.Giver.Limits = Settings.Shares;
-  Node.Giver.Partitions = Settings.Partitions;
+  Node.Consumer.Limits = Settings.Consumer;
+  Node.Consumer.Shares = Settings.Shares;
+  Node.Allocator.Limits = Settings.Shares;
+  Node.Allocator.Partitions = Settings.Partitions;
   Node.Leases.resize(Settings.Partitions);
   for (std::uint16_t Index = 0; Index < Settings.Partitions; ++Index)
     Node.Leases[Index].Partition = Index;
@@ -213,23 +216,23 @@
     const share_plan Plan =
         planOf(Customer.Rate, Customer.Burst, Node.Settings.Shares);
     Node.Plans[Customer.Name] = Plan;
-    share_account &Account = Node.Holder.Accounts[Customer.Name];
+    share_account &Account = Node.Consumer.Accounts[Customer.Name];
     Account.Plan = Plan;
     Account.Partition = partitionOf(Customer.Name, Node.Settings.Partitions);
   }
   const auto IsGone = [&](const auto &Entry) {
     return !Node.Plans.contains(Entry.first);
   };
-  applyGiverPlans(
-      Node.Giver, Node.Plans,
+  applyAllocatorPlans(
+      Node.Allocator, Node.Plans,
       [&](std::uint16_t Partition) { return Node.Leases[Partition].Holding; },
       Now);
   // Accounts with waiting requests go when these have their verdicts.
-  std::erase_if(Node.Holder.Accounts, [&](const auto &Entry) {
+  std::erase_if(Node.Consumer.Accounts, [&](const auto &Entry) {
     return IsGone(Entry) && Entry.second.Waiters.empty();
   });
-  std::erase_if(Node.Holder.Active, [&](const base::customer_name &Name) {
-    return !Node.Holder.Accounts.contains(Name);
+  std::erase_if(Node.Consumer.Active, [&](const base::customer_name &Name) {
+    return !Node.Consumer.Accounts.contains(Name);
   });
 }
 
@@ -255,24 +258,26 @@
 
 } // namespace
 
-share_actions askForTokens(share_node &Node, const membership &Membership,
-                           instant Now) {
+share_actions requestTokens(share_node &Node, const membership &Membership,
+                            instant Now) {
   share_actions Actions;
-  for (wire::share_message &Request : dueRequests(Node.Holder, Now)) {
+  for (wire::share_message &Request : dueRequests(Node.Consumer, Now)) {
     Request.Incarnation = Node.Incarnation;
-    const base::instance_name Giver = giverOf(Node, Request.Partition, Now);
-    if (Giver == Node.Self)
-      takeAnswer(Node, answer(Node, Membership, Request, Now), Now, Actions);
-    else if (!Giver.empty())
-      Actions.Sends.push_back({Giver, std::move(Request)});
+    const base::instance_name Allocator =
+        allocatorOf(Node, Request.Partition, Now);
+    if (Allocator == Node.Self)
+      handleAnswer(Node, answerRequest(Node, Membership, Request, Now), Now,
+                   Actions);
+    else if (!Allocator.empty())
+      Actions.Sends.push_back({Allocator, std::move(Request)});
   }
   return Actions;
 }
 
 share_actions onShareTick(share_node &Node, const membership &Membership,
                           instant Now) {
-  share_actions Actions = askForTokens(Node, Membership, Now);
-  std::ranges::move(dueVerdicts(Node.Holder, Now),
+  share_actions Actions = requestTokens(Node, Membership, Now);
+  std::ranges::move(dueVerdicts(Node.Consumer, Now),
                     std::back_inserter(Actions.Verdicts));
   if (Now < Node.NextLeaseAt)
     return Actions;
@@ -295,7 +300,8 @@
   if (Message.Partition >= Node.Settings.Partitions)
     return Actions;
   if (Message.Kind == wire::share_kind::Request) {
-    Actions.Sends.push_back({From, answer(Node, Membership, Message, Now)});
+    Actions.Sends.push_back(
+        {From, answerRequest(Node, Membership, Message, Now)});
     return Actions;
   }
   if (Message.Kind == wire::share_kind::Released) {
@@ -306,8 +312,8 @@
   // An answer to a former incarnation of this instance.
   if (Message.Incarnation != Node.Incarnation)
     return Actions;
-  takeAnswer(Node, Message, Now, Actions);
-  share_actions More = askForTokens(Node, Membership, Now);
+  handleAnswer(Node, Message, Now, Actions);
+  share_actions More = requestTokens(Node, Membership, Now);
   std::ranges::move(More.Sends, std::back_inserter(Actions.Sends));
   std::ranges::move(More.Verdicts, std::back_inserter(Actions.Verdicts));
   return Actions;
--- a/packages/control/src/share_service.cpp
+++ b/packages/control/src/share_service.cpp
@@ -68,7 +68,7 @@
   share_options Options;
   share_node Node;
   /// Baseline: the nth part of each customer's budget.
-  std::map<base::customer_name, share_bucket, std::less<>> Parts;
+  std::map<base::customer_name, share_bucket, std::less<>> StaticBuckets;
   std::map<std::uint64_t, waiting_request> Waiting;
   std::uint64_t StaticRefused = 0;
   std::uint64_t StaticSpent = 0;
@@ -141,18 +141,18 @@
   const share_plan &Whole = Node.Plans.find(Customer)->second;
   const auto Instances = static_cast<double>(instanceCount(Peers.view()));
   // Ttl 0: what is given here is spent here at once.
-  const share_plan Part{Whole.Rate / Instances, Whole.Burst / Instances,
-                        microseconds(0)};
-  const auto [At, New] = Parts.try_emplace(std::string(Customer));
+  const share_plan InstancePlan{Whole.Rate / Instances, Whole.Burst / Instances,
+                                microseconds(0)};
+  const auto [At, New] = StaticBuckets.try_emplace(std::string(Customer));
   if (New)
     At->second.FilledAt = Now;
-  setPlan(At->second, Part, Now, Node.Settings.Shares);
+  setPlan(At->second, InstancePlan, Now, Node.Settings.Shares);
   return At->second;
 }
 
 bool share_service::state::takeStatic(std::string_view Customer, instant Now) {
-  const bool Taken =
-      give(staticBucket(Customer, Now), 1, Now, Node.Settings.Shares) >= 1;
+  const bool Taken = allocateTokens(staticBucket(Customer, Now), 1, Now,
+                                    Node.Settings.Shares) >= 1;
   StaticSpent += Taken ? 1 : 0;
   return Taken;
 }
@@ -196,8 +196,8 @@
 
 void share_service::apply(const configuration &Configuration) {
   applyPlans(State->Node, Configuration.Customers, base::now());
-  std::erase_if(State->Parts, [&](const auto &Part) {
-    return !State->Node.Plans.contains(Part.first);
+  std::erase_if(State->StaticBuckets, [&](const auto &Entry) {
+    return !State->Node.Plans.contains(Entry.first);
   });
 }
 
@@ -207,7 +207,7 @@
     return false;
   return State->Options.Policy == share_policy::Static
              ? State->takeStatic(Customer, Now)
-             : takeToken(State->Node.Holder, Customer, Now);
+             : takeToken(State->Node.Consumer, Customer, Now);
 }
 
 namespace {
@@ -219,11 +219,11 @@
                                     instant Deadline) {
   const instant Now = base::now();
   const std::uint64_t Ticket =
-      waitForToken(Self->Node.Holder, Customer, Now, Deadline);
+      waitForToken(Self->Node.Consumer, Customer, Now, Deadline);
   const auto [At, New] = Self->Waiting.emplace(
       Ticket,
       waiting_request{asio::steady_timer(Self->Executor), std::nullopt});
-  Self->carryOut(askForTokens(Self->Node, Self->Peers.view(), Now));
+  Self->carryOut(requestTokens(Self->Node, Self->Peers.view(), Now));
   // This instance may be the giver itself: then the verdict is here.
   while (!At->second.Verdict && !Self->Stopped) {
     boost::system::error_code Error;
@@ -259,9 +259,9 @@
 }
 
 share_status share_service::status() const {
-  const holder_counters &Counters = State->Node.Holder.Counters;
+  const consumer_counters &Counters = State->Node.Consumer.Counters;
   share_status Status;
-  Status.Given = State->Node.Giver.Given;
+  Status.Allocated = State->Node.Allocator.Allocated;
   Status.Spent = Counters.Spent + State->StaticSpent;
   Status.Refused = Counters.Refused + State->StaticRefused;
   Status.RefusedUnanswered = Counters.RefusedUnanswered;
--- a/packages/redwinggw/src/operator_pages.cpp
+++ b/packages/redwinggw/src/operator_pages.cpp
@@ -83,7 +83,7 @@
 
 json::value shareStatus(const instance_state &State) {
   const control::share_status Status = State.Shares.status();
-  return json::object{{"given", Status.Given},
+  return json::object{{"given", Status.Allocated},
                       {"spent", Status.Spent},
                       {"refused", Status.Refused},
                       {"refused_unanswered", Status.RefusedUnanswered},
--- a/tests/bench/peers_bench.cpp
+++ b/tests/bench/peers_bench.cpp
@@ -186,14 +186,15 @@
 void requestAt(bench_fleet &Fleet, std::size_t Index,
                const std::string &Customer) {
   bench_node &Node = Fleet.Nodes[Index];
-  if (takeToken(Node.Shares.Holder, Customer, Fleet.Now)) {
+  if (takeToken(Node.Shares.Consumer, Customer, Fleet.Now)) {
     ++Fleet.Spent;
     return;
   }
   ++Fleet.Waited;
-  waitForToken(Node.Shares.Holder, Customer, Fleet.Now,
+  waitForToken(Node.Shares.Consumer, Customer, Fleet.Now,
                Fleet.Now + milliseconds(1000));
-  carryOut(Fleet, Index, askForTokens(Node.Shares, Node.Membership, Fleet.Now));
+  carryOut(Fleet, Index,
+           requestTokens(Node.Shares, Node.Membership, Fleet.Now));
 }
 
 void benchShares(const share_load &Load) {
--- a/tests/control/peer_service_test.cpp
+++ b/tests/control/peer_service_test.cpp
@@ -168,7 +168,7 @@
   cr_assert(Tally.OverRate > 1200);
   double Given = 0;
   for (const instance &Instance : Fleet->Instances)
-    Given += Instance.Shares->status().Given;
+    Given += Instance.Shares->status().Allocated;
   cr_assert(Given >= static_cast<double>(Tally.Admitted + 6));
   stopFleet(*Fleet);
 }
--- a/tests/control/share_bound_cuts_test.cpp
+++ b/tests/control/share_bound_cuts_test.cpp
@@ -1,4 +1,4 @@
-#include "share_stories.hpp"
+#include "share_fault_scenarios.hpp"
 
 #include "criterion_test.hpp"
 
@@ -8,9 +8,9 @@
 
 namespace {
 
-constexpr std::array Stories = std::to_array<fault_case>({
-    {"giver is cut from all", giverIsCutFromAll},
-    {"giver is cut from the store", giverIsCutFromTheStore},
+constexpr std::array Scenarios = std::to_array<scenario_case>({
+    {"giver is cut from all", allocatorIsCutFromAll},
+    {"giver is cut from the store", allocatorIsCutFromTheStore},
     {"store comes back for others only", storeComesBackForOthersOnly},
 });
 
@@ -19,6 +19,6 @@
 // A customer floods all instances with five times its rate while the giver is
 // cut off from the others or the store, or the store goes down. In no window
 // may the fleet as a whole serve more than burst + rate * length.
-Test(share_bound_cuts, no_window_is_above_while_the_giver_is_cut) {
-  cr_assert(worstOf(Stories) <= Rounding);
+Test(share_bound_cuts, no_window_is_above_while_the_allocator_is_cut) {
+  cr_assert(worstOf(Scenarios) <= Rounding);
 }
--- a/tests/control/share_bound_test.cpp
+++ b/tests/control/share_bound_test.cpp
@@ -1,4 +1,4 @@
-#include "share_stories.hpp"
+#include "share_fault_scenarios.hpp"
 
 #include "criterion_test.hpp"
 
@@ -8,12 +8,12 @@
 
 namespace {
 
-constexpr std::array Stories = std::to_array<fault_case>({
-    {"giver is killed", giverIsKilled},
-    {"giver pauses over its lease", giverPausesOverItsLease},
-    {"giver pauses in a renewal", giverPausesInARenewal},
-    {"giver is not heard", giverIsNotHeard},
-    {"giver drains", giverDrains},
+constexpr std::array Scenarios = std::to_array<scenario_case>({
+    {"giver is killed", allocatorIsKilled},
+    {"giver pauses over its lease", allocatorPausesOverItsLease},
+    {"giver pauses in a renewal", allocatorPausesInARenewal},
+    {"giver is not heard", allocatorIsNotHeard},
+    {"giver drains", allocatorDrains},
 });
 
 } // namespace
@@ -21,6 +21,6 @@
 // A customer floods all instances with five times its rate while the giver
 // dies, sleeps, stops or is not heard. In no window may the fleet as a whole
 // serve more than burst + rate * length.
-Test(share_bound, no_window_is_above_while_givers_fail) {
-  cr_assert(worstOf(Stories) <= Rounding);
+Test(share_bound, no_window_is_above_while_allocators_fail) {
+  cr_assert(worstOf(Scenarios) <= Rounding);
 }
--- a/tests/control/share_stories.hpp
+++ b/tests/control/share_fault_scenarios.hpp
@@ -5,8 +5,8 @@
 #include <iostream>
 #include <span>
 
-/// Stories of faults around givers and holders of shares, under a flood of five
-/// times the rate, and the worst excess over the bound in each.
+/// Scenarios of faults around givers and holders of shares, under a flood of
+/// five times the rate, and the worst excess over the bound in each.
 namespace redwinggw::control::testing {
 
 constexpr double Rate = 200;
@@ -44,35 +44,37 @@
 /// A story with a fault, its worst excess under \p Settings.
 using scenario = double (*)(unsigned Seed, share_settings Settings);
 
-inline double giverIsKilled(unsigned Seed, share_settings Settings) {
+inline double allocatorIsKilled(unsigned Seed, share_settings Settings) {
   share_fleet Fleet = startedFleet(Seed, Settings);
-  Fleet.Nodes[giverIndex(Fleet)].Up = false;
+  Fleet.Nodes[allocatorIndex(Fleet)].Up = false;
   flood(Fleet, milliseconds(8000));
   return excessOf(Fleet);
 }
 
-inline double giverPausesOverItsLease(unsigned Seed, share_settings Settings) {
+inline double allocatorPausesOverItsLease(unsigned Seed,
+                                          share_settings Settings) {
   share_fleet Fleet = startedFleet(Seed, Settings);
-  const std::size_t Giver = giverIndex(Fleet);
-  Fleet.Nodes[Giver].Paused = true;
+  const std::size_t Allocator = allocatorIndex(Fleet);
+  Fleet.Nodes[Allocator].Paused = true;
   flood(Fleet, milliseconds(5000));
-  wake(Fleet, Giver);
+  wake(Fleet, Allocator);
   flood(Fleet, milliseconds(2000));
   return excessOf(Fleet);
 }
 
-inline double giverIsCutFromAll(unsigned Seed, share_settings Settings) {
+inline double allocatorIsCutFromAll(unsigned Seed, share_settings Settings) {
   share_fleet Fleet = startedFleet(Seed, Settings);
-  const std::size_t Giver = giverIndex(Fleet);
-  Fleet.Nodes[Giver].SeesStore = false;
-  isolate(Fleet, Giver);
+  const std::size_t Allocator = allocatorIndex(Fleet);
+  Fleet.Nodes[Allocator].SeesStore = false;
+  isolate(Fleet, Allocator);
   flood(Fleet, milliseconds(12000));
   return excessOf(Fleet);
 }
 
-inline double giverIsCutFromTheStore(unsigned Seed, share_settings Settings) {
+inline double allocatorIsCutFromTheStore(unsigned Seed,
+                                         share_settings Settings) {
   share_fleet Fleet = startedFleet(Seed, Settings);
-  Fleet.Nodes[giverIndex(Fleet)].SeesStore = false;
+  Fleet.Nodes[allocatorIndex(Fleet)].SeesStore = false;
   flood(Fleet, milliseconds(12000));
   return excessOf(Fleet);
 }
@@ -82,47 +84,49 @@
   share_fleet Fleet = startedFleet(Seed, Settings);
   Fleet.StoreUp = false;
   flood(Fleet, milliseconds(6000));
-  Fleet.Nodes[giverIndex(Fleet)].SeesStore = false;
+  Fleet.Nodes[allocatorIndex(Fleet)].SeesStore = false;
   Fleet.StoreUp = true;
   flood(Fleet, milliseconds(8000));
   return excessOf(Fleet);
 }
 
 /// The giver sleeps between a renewal and its answer.
-inline double giverPausesInARenewal(unsigned Seed, share_settings Settings) {
+inline double allocatorPausesInARenewal(unsigned Seed,
+                                        share_settings Settings) {
   share_fleet Fleet = startedFleet(Seed, Settings);
-  const std::size_t Giver = giverIndex(Fleet);
-  while (Fleet.Nodes[Giver].Shares.Committing.empty())
+  const std::size_t Allocator = allocatorIndex(Fleet);
+  while (Fleet.Nodes[Allocator].Shares.Committing.empty())
     step(Fleet);
-  Fleet.Nodes[Giver].Paused = true;
+  Fleet.Nodes[Allocator].Paused = true;
   flood(Fleet, milliseconds(6000));
-  isolate(Fleet, Giver);
-  Fleet.Nodes[Giver].SeesStore = false;
-  wake(Fleet, Giver);
+  isolate(Fleet, Allocator);
+  Fleet.Nodes[Allocator].SeesStore = false;
+  wake(Fleet, Allocator);
   flood(Fleet, milliseconds(3000));
   return excessOf(Fleet);
 }
 
 /// The others get nothing from the giver and take it for dead.
-inline double giverIsNotHeard(unsigned Seed, share_settings Settings) {
+inline double allocatorIsNotHeard(unsigned Seed, share_settings Settings) {
   share_fleet Fleet = startedFleet(Seed, Settings);
-  const std::size_t Giver = giverIndex(Fleet);
+  const std::size_t Allocator = allocatorIndex(Fleet);
   for (std::size_t Other = 0; Other < Count; ++Other)
-    Fleet.Cuts.insert({Giver, Other});
+    Fleet.Cuts.insert({Allocator, Other});
   flood(Fleet, milliseconds(10000));
   return excessOf(Fleet);
 }
 
-inline double holderPausesWithTokens(unsigned Seed, share_settings Settings) {
+inline double consumerPausesWithTokens(unsigned Seed, share_settings Settings) {
   Settings.Shares.MinTtl = LongTtl;
   share_fleet Fleet = startedFleet(Seed, Settings);
-  const std::size_t Holder = (giverIndex(Fleet) + 1) % Count;
-  runLoad(Fleet, milliseconds(1500), 0.4 * Rate, [Holder] { return Holder; });
-  Fleet.Nodes[Holder].Paused = true;
-  runLoad(Fleet, milliseconds(1000), 1, [Holder] { return Holder; });
-  const std::size_t Other = (Holder + 1) % Count;
+  const std::size_t Consumer = (allocatorIndex(Fleet) + 1) % Count;
+  runLoad(Fleet, milliseconds(1500), 0.4 * Rate,
+          [Consumer] { return Consumer; });
+  Fleet.Nodes[Consumer].Paused = true;
+  runLoad(Fleet, milliseconds(1000), 1, [Consumer] { return Consumer; });
+  const std::size_t Other = (Consumer + 1) % Count;
   runLoad(Fleet, milliseconds(5), 200 * Rate, [Other] { return Other; });
-  wake(Fleet, Holder);
+  wake(Fleet, Consumer);
   flood(Fleet, milliseconds(500));
   return excessOf(Fleet);
 }
@@ -131,40 +135,42 @@
                                           share_settings Settings) {
   Settings.Shares.MinTtl = LongTtl;
   share_fleet Fleet = startedFleet(Seed, Settings);
-  const std::size_t Holder = (giverIndex(Fleet) + 1) % Count;
-  runLoad(Fleet, milliseconds(1500), 0.9 * Rate, [Holder] { return Holder; });
+  const std::size_t Consumer = (allocatorIndex(Fleet) + 1) % Count;
+  runLoad(Fleet, milliseconds(1500), 0.9 * Rate,
+          [Consumer] { return Consumer; });
   runLoad(Fleet, milliseconds(100), 50 * Rate, anyNode(Fleet));
   return excessOf(Fleet);
 }
 
-inline double datagramsAreLateCrossedAndDoubled(unsigned Seed,
-                                                share_settings Settings) {
+inline double
+datagramsAreDelayedReorderedAndDuplicated(unsigned Seed,
+                                          share_settings Settings) {
   share_fleet Fleet = makeShareFleet(Count, Seed, Rate, Burst, Settings);
   Fleet.Faults = {0.1, 0.3, milliseconds(15), 0.1};
   flood(Fleet, milliseconds(10000));
   return excessOf(Fleet);
 }
 
-inline double giverDrains(unsigned Seed, share_settings Settings) {
+inline double allocatorDrains(unsigned Seed, share_settings Settings) {
   share_fleet Fleet = startedFleet(Seed, Settings);
-  giverIsDrained(Fleet);
+  allocatorIsDrained(Fleet);
   flood(Fleet, milliseconds(3000));
   return excessOf(Fleet);
 }
 
-struct fault_case {
+struct scenario_case {
   const char *Name;
   scenario Run;
 };
 
-constexpr unsigned StorySeeds = 3;
+constexpr unsigned ScenarioSeeds = 3;
 
-/// The worst excess over the bound in any of \p Stories, with each seed.
-inline double worstOf(std::span<const fault_case> Stories) {
+/// The worst excess over the bound in any of \p Scenarios, with each seed.
+inline double worstOf(std::span<const scenario_case> Scenarios) {
   double Worst = -Burst;
-  for (const fault_case &Case : Stories) {
+  for (const scenario_case &Case : Scenarios) {
     double Excess = -Burst;
-    for (unsigned Seed = 1; Seed <= StorySeeds; ++Seed)
+    for (unsigned Seed = 1; Seed <= ScenarioSeeds; ++Seed)
       Excess = std::max(Excess, Case.Run(Seed, {}));
     std::cerr << Case.Name << ": excess " << Excess << "\n";
     Worst = std::max(Worst, Excess);
--- a/tests/control/share_fleet.hpp
+++ b/tests/control/share_fleet.hpp
@@ -227,12 +227,12 @@
   if (!Node.Up || Node.Paused)
     return;
   const instant Now = clockOf(Fleet, Index);
-  if (takeToken(Node.Shares.Holder, Sweets, Now)) {
+  if (takeToken(Node.Shares.Consumer, Sweets, Now)) {
     noteSpent(Fleet, Sweets);
     return;
   }
-  waitForToken(Node.Shares.Holder, Sweets, Now, Now + Timeout);
-  carryOut(Fleet, Index, askForTokens(Node.Shares, Node.Membership, Now));
+  waitForToken(Node.Shares.Consumer, Sweets, Now, Now + Timeout);
+  carryOut(Fleet, Index, requestTokens(Node.Shares, Node.Membership, Now));
 }
 
 inline void step(share_fleet &Fleet) {
@@ -293,7 +293,7 @@
 }
 
 /// The node that holds the lease and may give; the count if none.
-inline std::size_t giverIndex(const share_fleet &Fleet) {
+inline std::size_t allocatorIndex(const share_fleet &Fleet) {
   const auto Found =
       std::ranges::find_if(Fleet.Nodes, [](const fleet_node &Node) {
         return Node.Up && Node.Shares.Leases[0].Holding;
@@ -348,11 +348,11 @@
 }
 
 /// The giver begins to drain and says that it leaves.
-inline void giverIsDrained(share_fleet &Fleet) {
-  fleet_node &Giver = Fleet.Nodes[giverIndex(Fleet)];
-  Giver.Shares.Draining = true;
+inline void allocatorIsDrained(share_fleet &Fleet) {
+  fleet_node &Allocator = Fleet.Nodes[allocatorIndex(Fleet)];
+  Allocator.Shares.Draining = true;
   for (const peer_send &Send :
-       onLeave(Giver.Membership, clockOf(Fleet, giverIndex(Fleet))))
+       onLeave(Allocator.Membership, clockOf(Fleet, allocatorIndex(Fleet))))
     transmit(Fleet, Send.Datagram);
 }
 
--- a/tests/control/share_floor_test.cpp
+++ b/tests/control/share_floor_test.cpp
@@ -22,14 +22,14 @@
   std::uint64_t Refused = 0;
 };
 
-using story = void (*)(share_fleet &);
+using fault_function = void (*)(share_fleet &);
 
-refusals refusedInside(double Load, bool OneNode, story Fault) {
+refusals refusedInside(double Load, bool OneNode, fault_function Fault) {
   share_fleet Fleet = makeShareFleet(Count, 7, Rate, RoomyBurst);
   runLoad(Fleet, Start, Rate / 2, anyNode(Fleet));
   Fleet.Refused = 0;
   // The node whose callers are watched is not the one that may be killed.
-  const std::size_t Watched = (giverIndex(Fleet) + 1) % Count;
+  const std::size_t Watched = (allocatorIndex(Fleet) + 1) % Count;
   const auto Pick = [&Fleet, OneNode, Watched] {
     return OneNode ? Watched : Fleet.Random() % Count;
   };
@@ -47,8 +47,8 @@
 void datagramsAreLost(share_fleet &Fleet) {
   Fleet.Faults = {0.01, 0.01, milliseconds(3), 0.01};
 }
-void giverDies(share_fleet &Fleet) {
-  Fleet.Nodes[giverIndex(Fleet)].Up = false;
+void allocatorDies(share_fleet &Fleet) {
+  Fleet.Nodes[allocatorIndex(Fleet)].Up = false;
 }
 
 } // namespace
@@ -61,7 +61,7 @@
     const char *Name;
     double Load;
     bool OneNode;
-    story Fault;
+    fault_function Fault;
   };
   const std::vector<load_case> Cases{
       {"half the rate, one node", 0.5, true, nothing},
@@ -71,7 +71,7 @@
       {"twice the rate thinned to it, one node", 2, true, nothing},
       {"twice the rate thinned to it, spread", 2, false, nothing},
       {"90%, store down for all", 0.9, false, storeGoesDown},
-      {"90%, giver drains", 0.9, false, giverIsDrained},
+      {"90%, giver drains", 0.9, false, allocatorIsDrained},
       {"90%, 1% of datagrams lost", 0.9, false, datagramsAreLost},
   };
   constexpr double Allowed = 0.001;
@@ -88,8 +88,8 @@
 
 // The giver dies. Until its lease and its grants are over nobody can give
 // without risking the double. What is lost is printed; the rest must go on.
-Test(share_floor, requests_are_admitted_again_after_the_giver_died) {
-  const refusals Seen = refusedInside(0.5, true, giverDies);
+Test(share_floor, requests_are_admitted_again_after_the_allocator_died) {
+  const refusals Seen = refusedInside(0.5, true, allocatorDies);
   std::cerr << "giver dies: " << Seen.Refused << " of " << Seen.Made
             << " refused\n";
   cr_assert(Seen.Refused < Seen.Made / 2);
@@ -98,7 +98,7 @@
 // The store is down for a minute. What the instances tell each other of its
 // last answer must not grow younger on its rounds among them: givers would
 // take the outage for over, stop, and refuse requests inside the rate.
-Test(share_floor, news_of_the_stores_last_answer_does_not_grow_younger) {
+Test(share_floor, age_of_the_stores_last_answer_does_not_decrease) {
   share_fleet Fleet = makeShareFleet(Count, 3, Rate, RoomyBurst);
   runLoad(Fleet, Start, 1, anyNode(Fleet));
   Fleet.StoreUp = false;
@@ -117,10 +117,11 @@
 // reaches the store, and nobody gives until the store is back. Or the holder
 // keeps it, but the instance to which it would have moved, and all who ask
 // that one, no longer learn who holds it.
-Test(share_floor, a_lease_about_to_move_is_given_from_while_the_store_is_down) {
+Test(share_floor,
+     a_lease_about_to_be_handed_over_is_used_while_the_store_is_down) {
   share_fleet Fleet = makeShareFleet(Count, 7, Rate, RoomyBurst);
   runLoad(Fleet, Start, Rate / 2, anyNode(Fleet));
-  fleet_node &Preferred = Fleet.Nodes[giverIndex(Fleet)];
+  fleet_node &Preferred = Fleet.Nodes[allocatorIndex(Fleet)];
   Preferred.SeesStore = false;
   runLoad(Fleet, milliseconds(10000), Rate / 2, anyNode(Fleet));
   cr_assert(std::ranges::any_of(Fleet.Nodes, [&](const fleet_node &Node) {
--- a/tests/control/share_guards_test.cpp
+++ b/tests/control/share_guards_test.cpp
@@ -1,4 +1,4 @@
-#include "share_stories.hpp"
+#include "share_fault_scenarios.hpp"
 
 #include "criterion_test.hpp"
 
@@ -19,25 +19,25 @@
        [](share_settings &Off) { Off.Shares.CountOutstanding = false; },
        loadJumpsWhileTokensAreHeld},
       {"heed expiry",
-       [](share_settings &Off) { Off.Shares.HeedExpiry = false; },
-       holderPausesWithTokens},
+       [](share_settings &Off) { Off.Shares.CheckExpiry = false; },
+       consumerPausesWithTokens},
       {"match numbers",
        [](share_settings &Off) { Off.Shares.MatchNumbers = false; },
-       datagramsAreLateCrossedAndDoubled},
+       datagramsAreDelayedReorderedAndDuplicated},
       {"taker waits", [](share_settings &Off) { Off.Lease.TakerWaits = false; },
-       giverIsNotHeard},
+       allocatorIsNotHeard},
       {"holder heeds end",
-       [](share_settings &Off) { Off.Lease.HolderHeedsEnd = false; },
-       giverIsCutFromAll},
+       [](share_settings &Off) { Off.Lease.HolderChecksEnd = false; },
+       allocatorIsCutFromAll},
       {"extension needs majority",
        [](share_settings &Off) { Off.Lease.ExtensionNeedsMajority = false; },
-       giverIsCutFromAll},
+       allocatorIsCutFromAll},
       {"extension heeds contact",
-       [](share_settings &Off) { Off.Lease.ExtensionHeedsContact = false; },
-       giverIsCutFromTheStore},
+       [](share_settings &Off) { Off.Lease.ExtensionChecksContact = false; },
+       allocatorIsCutFromTheStore},
       {"count from sending",
        [](share_settings &Off) { Off.Lease.CountFromSending = false; },
-       giverPausesInARenewal},
+       allocatorPausesInARenewal},
   };
   std::size_t Missed = 0;
   for (const guard &Guard : Guards) {
