--- a/packages/control/include/redwinggw/control/centralized_buckets.hpp
+++ b/packages/control/include/redwinggw/control/centralized_buckets.hpp
@@ -8,71 +8,73 @@
 #include <optional>
 #include <string_view>
 
-/// One bucket for each customer's rate in a large fleet. Decisions without I/O.
+/// In a large fleet, one token bucket for each customer's whole rate. Decisions
+/// without I/O.
 ///
-/// The load it answers: many customers that ask for a few operations a second
-/// each, at a hundred instances. A part of such a rate holds less than one
-/// operation, so most were refused inside their rate; their callers came again,
-/// which looked like still more demand.
+/// The load that this is for: many customers with a few operations per second
+/// each, at a hundred instances. A share of such a rate holds less than one
+/// operation, so most operations were refused within the rate; their callers
+/// retried, which looked like even more demand.
 ///
-/// In a fleet with relays the whole bucket of a customer stands at one
-/// instance, its keeper, and the others ask it for each operation: a round trip
-/// between instances, short against any operation. Bounds:
+/// In a fleet with relays, one instance owns the whole bucket of a customer,
+/// and the others ask this owner for each operation: a round trip between
+/// instances, which is short compared with any operation. Bounds:
 ///
-/// - The keeper is drawn among the instances that are up. Only one that hears a
-///   majority keeps buckets. It is passed over only when nobody has heard it
-///   for as long as a majority counts, and the next one begins a pause later;
-///   so a keeper that was cut off has stopped by then. A new one begins with an
-///   empty bucket.
-///   Where no instance that is heard has gathered rates for long, as after the
-///   loss of all, there is no former keeper to wait for.
-/// - The keeper's bucket holds what is left of the rate beside the parts of
+/// - The owner is chosen by hash among the instances that are up. Only an
+///   instance in contact with a majority owns buckets. It is replaced only when
+///   nobody has been in contact with it for as long as contact counts for a
+///   majority, and its successor starts a delay later; so an owner that was cut
+///   off has stopped by then. A new owner starts with an empty bucket. Where no
+///   instance in contact has centralized buckets for long, as after the loss of
+///   all, there is no former owner to wait for.
+/// - The owner's bucket holds what is left of the rate besides the shares of
 ///   silent instances, as where rates are divided: those on the other side of a
-///   partition go on with these parts.
-/// - An instance that hears no majority divides rates by demand, see
-///   demand_shares.hpp, from when the keepers have noticed that it is silent.
-/// - While the keeper does not answer, the customer is refused: nobody else
+///   partition go on with these shares.
+/// - An instance that is not in contact with a majority divides rates by
+///   demand, see demand_shares.hpp, once the owners have noticed that it is
+///   silent.
+/// - While the owner does not answer, the customer is refused: nobody else
 ///   knows what is left of its rate.
 namespace redwinggw::control {
 
-/// Works out which instance keeps each customer's bucket, if rates are gathered
-/// at all. Call it after each divideRates with the same arguments; it replaces
-/// the parts that were divided.
+/// Chooses the owner of each customer's bucket, if buckets are centralized at
+/// all. Call it after each divideRates with the same arguments; it replaces the
+/// shares computed there.
 void centralizeBuckets(demand_shares &Shares, const membership &Membership,
                        bool InContact, base::instant Now);
 
-/// Whether this instance has gathered rates for long enough that there may have
-/// been keepers; the others have to know.
+/// Whether this instance has centralized buckets for long enough that there may
+/// have been owners; the others have to know this.
 bool hasCentralizedBuckets(const demand_shares &Shares, base::instant Now);
 
-/// Whether \p Customer's bucket stands at one instance.
+/// Whether one instance owns the whole bucket of \p Customer.
 bool isCentralized(const demand_shares &Shares, std::string_view Customer);
 
-/// The member that keeps the bucket of \p Customer; null when it is this
+/// The member that owns the bucket of \p Customer; null when it is this
 /// instance or nobody.
 const member *bucketOwner(const demand_shares &Shares,
                           const membership &Membership,
                           std::string_view Customer);
 
-/// After so long another keeper has usually been drawn in place of one that is
-/// gone.
+/// Within this time another owner has usually been chosen in place of one that
+/// is gone.
 constexpr base::milliseconds NextOwnerWithin{900};
 
-/// What a keeper answers to a request for one operation.
+/// An owner's answer to a request for one operation's token.
 struct bucket_owner_answer {
   bool Granted = false;
-  /// Granted: how long to wait first. Otherwise: when there is a token.
+  /// Granted: how long to wait first. Otherwise: when a token is available.
   base::microseconds Wait{0};
 };
 
-/// Takes a token out of the bucket that this instance keeps, for an operation
-/// elsewhere of \p Priority that can wait \p MaxWait. Nothing when it does not
-/// keep the bucket of \p Customer.
+/// Takes a token out of a bucket that this instance owns, for an operation of
+/// \p Priority at another instance that can wait \p MaxWait. Nothing when this
+/// instance does not own the bucket of \p Customer.
 std::optional<bucket_owner_answer>
 grantToken(demand_shares &Shares, std::string_view Customer, unsigned Priority,
            base::microseconds MaxWait, base::instant Now);
 
-/// The verdict on an operation for which the keeper gave an answer.
+/// The verdict on an operation for which the owner gave \p Answer.
 demand_verdict verdictFromOwner(demand_shares &Shares,
                                 std::string_view Customer,
                                 const bucket_owner_answer &Answer);
--- a/packages/control/include/redwinggw/control/demand_shares.hpp
+++ b/packages/control/include/redwinggw/control/demand_shares.hpp
@@ -16,138 +16,148 @@
 #include <string_view>
 #include <vector>
 
-/// Rate and burst of each customer over the fleet, divided by demand. Each
-/// instance tells the others in its heartbeats how much it is asked for, and
-/// admits the part of the rate that its demand has in the sum.
+/// Divides each customer's rate and burst among the instances by demand. Each
+/// instance announces its demand in its heartbeats, and admits the share of the
+/// rate that its demand has in the sum.
 ///
-/// - No instance gives, so none is missed when it dies, the store is not
-///   asked, and a statement waits for no other instance.
-/// - The parts add up to one as far as all count with the same numbers: an
-///   instance counts its own demand as it announced it last. A silent instance
-///   keeps the part that it had when it was heard last, whatever the demand is
-///   since: two sides of a partition, each with a flood that the other does not
-///   hear of, would else both take most of the rate.
-/// - Whoever hears a majority takes over a quarter of a silent instance's part
-///   after a while, and 0.04 of the whole at most; nobody else takes over
-///   anything. Whoever is out of touch, with no majority and no store, admits
-///   half of its part. Two sides of a partition then admit at most 1.04 of the
-///   whole, whichever of them reaches the store; operators tolerate 1.1.
-/// - What relays pass on is a few heartbeats old. There an instance counts its
-///   own demand as it told it so long ago: were a growing demand counted here
-///   before that of the others is, a flood that begins everywhere would be
-///   served several times over until the news of it has gone round.
-/// - Where instances report to relays, a relay adds up the demand of those that
-///   report to it and the parts of those that went silent. Its sums stand for
-///   one instance that has all of that demand. Two relays add up the same zone;
-///   whoever reads them goes by one of them.
-/// - An instance that leaves keeps its part until it sends its callers away.
-/// - A new process starts from empty buckets, so a burst is not spent twice
-///   over a restart of all, and with the idle part until it hears a majority.
+/// - No instance allocates the shares: none is missed when it fails, the store
+///   is not needed, and no statement waits for another instance.
+/// - The shares add up to one as far as all instances use the same numbers: an
+///   instance counts its own demand as it last announced it. A silent instance
+///   keeps the share that it had at its last heartbeat, however demand changes
+///   after that: otherwise two sides of a partition, each with a flood that the
+///   other does not see, would both take most of the rate.
+/// - An instance in contact with a majority takes over a quarter of a silent
+///   instance's share after a while, and at most 0.04 of the whole rate; nobody
+///   else takes over anything. An isolated instance, with neither a majority
+///   nor the store, admits half of its share. Two sides of a partition then
+///   admit at most 1.04 of the whole, whichever of them reaches the store;
+///   operators tolerate 1.1.
+/// - Demand that relays pass on is a few heartbeats old. With relays, an
+///   instance counts its own demand as it announced it that long ago: if its
+///   own growing demand counted before that of the others, a flood that begins
+///   everywhere would be served several times over until it is known
+///   everywhere.
+/// - A relay adds up the demand of the instances that report to it and the
+///   shares of those that fell silent. Its sums count as one instance with all
+///   of that demand. Two relays add up the same zone; a reader uses one of
+///   them.
+/// - An instance that leaves keeps its share until it sends its callers away.
+/// - A new process starts with empty buckets, so that a restart of all does not
+///   spend a burst twice, and with the idle share until it is in contact with a
+///   majority.
 namespace redwinggw::control {
 
 struct demand_limits {
-  /// Demand is averaged over this time: long enough that chance arrivals do
-  /// not move the parts, short against the time for which a change counts.
+  /// Demand is averaged over this time: long enough that random arrivals do not
+  /// change the shares, and short compared with the time for which a change
+  /// matters.
   base::milliseconds Window{2000};
-  /// What all instances together admit above the rate and burst. The parts
-  /// never fit the arrivals exactly; without some room each misfit refuses a
-  /// statement inside the rate. Stays below the tenth and twenty that
-  /// operators allow.
+  /// What all instances together admit above the rate and burst. The shares
+  /// never fit the arrivals exactly; without some slack each mismatch would
+  /// refuse a statement within the rate. Stays below the tenth and the twenty
+  /// tokens that operators allow.
   double RateSlack = 1.05;
   double ExtraTokens = 14;
-  /// Share of an equal share that an instance has without any demand, for the
-  /// first statements.
+  /// Fraction of an equal share that an instance has without any demand, for
+  /// the first statements.
   double IdleShare = 0.1;
-  /// A part that holds fewer operations than this serves badly what arrives by
-  /// chance, at once or not at all: half is refused at a part of one. There the
-  /// fleet's demand decides while it is below LowDemandFraction of the rate. A
-  /// flood shows in the others' heartbeats after about 0.4 s; at eight times
-  /// the usual demand it takes 1.9 times the rate by then, which the burst and
-  /// the operators' tolerance cover.
+  /// A share that holds fewer operations than this suits random arrivals badly,
+  /// which come several at once or not at all: with a share of one operation,
+  /// half are refused. Such a share is not enforced while the demand of the
+  /// fleet is below LowDemandFraction of the rate. A flood shows in the others'
+  /// heartbeats after about 0.4 s; at eight times the usual demand it takes 1.9
+  /// times the rate by then, which the burst and the operators' tolerance
+  /// cover.
   double MinDepth = 3;
   double LowDemandFraction = 0.8;
-  /// What was admitted there without a token is owed, up to so many tokens, and
-  /// paid back if the customer turns out to be over its rate.
+  /// Operations admitted that way without a token become a debt of at most this
+  /// many tokens, paid back if the customer turns out to be over its rate.
   double MaxDebt = 2;
-  /// Share of a bucket that operations leave to those of the next higher
-  /// priority: a customer over its rate is served what it has declared to
-  /// matter most. Below the rate nothing is reserved: it would only turn
-  /// chance arrivals away.
+  /// Fraction of a bucket that operations leave to those of the next higher
+  /// priority: a customer over its rate is served the operations that it
+  /// declared most important. Below the rate nothing is reserved: it would only
+  /// refuse random arrivals.
   double ReservePerPriority = 0.15;
   double MaxReserved = 0.45;
-  /// An instance is silent, and its part stays as it is, from here on: three
-  /// heartbeats.
+  /// After this long without a heartbeat (three heartbeats) an instance is
+  /// silent, and its share stays as it is.
   base::milliseconds FreshFor{650};
-  /// What an instance lends leaves it tokens for so long.
+  /// An instance that transfers tokens keeps what its own demand needs for this
+  /// long.
   base::milliseconds ReserveTime{50};
-  /// Of a silent instance's part so much stays reserved after this time.
+  /// After this time, the fraction SilentReserve of a silent instance's share
+  /// stays reserved.
   base::milliseconds LongSilentAfter{3000};
   double SilentReserve = 0.75;
-  /// Of the whole rate no more than this is taken over from silent instances: a
-  /// large part is that of another side of a partition, which goes on.
+  /// At most this fraction of the whole rate is taken over from silent
+  /// instances: a large share is that of the other side of a partition, which
+  /// goes on.
   double MaxTakenOver = 0.04;
-  /// By then a new instance has heard the others, if it can: five heartbeats.
+  /// By then a new instance has received the others' heartbeats, if it can:
+  /// five heartbeats.
   base::milliseconds FirstHeartbeats{1000};
-  /// A new instance that hears no majority serves the idle part only, for so
-  /// long at most: longer than rows of dead instances stay listed, and not for
-  /// ever where more than half of the listed are gone for good.
+  /// A new instance without contact to a majority serves the idle share only,
+  /// for at most this long: longer than rows of dead instances stay listed, and
+  /// not for ever where more than half of the listed instances are gone for
+  /// good.
   base::milliseconds MaxStartupTime{10000};
-  /// Out of touch for so long, an instance admits half of its part.
+  /// An instance that was isolated for this long admits half of its share.
   base::milliseconds IsolatedAfter{1500};
 };
 
-/// A customer's account in this instance. Tokens may be negative: operations
-/// that wait have taken theirs already.
+/// The account of one customer in this instance. Tokens may be negative:
+/// waiting operations have already taken theirs.
 struct demand_account {
   double Rate = 0;
   double Burst = 0;
-  /// Smoothed operations a second, refused ones included.
+  /// Smoothed operations per second, including refused ones.
   double Demand = 0;
   base::instant DemandAt;
-  /// Demand as the others were told last, and the times before, the newest
-  /// first.
+  /// The demand last announced to the others, and the announcements before it,
+  /// newest first.
   double Announced = 0;
   std::array<double, 2> AnnouncedBefore{};
   double Tokens = 0;
-  /// Tokens of operations of which it is not known yet whether they run.
+  /// Tokens of operations for which it is not yet known whether they run.
   double Unsettled = 0;
-  /// Room beyond the bucket's depth for borrowed tokens, until the next
-  /// division: where a customer's callers have just come, the bucket is flat,
-  /// and what was borrowed for them would run over.
+  /// Room beyond the bucket's depth for transferred tokens, until the next
+  /// division: where a customer's callers have only just arrived the bucket is
+  /// shallow, and tokens transferred for them would overflow.
   double TransferRoom = 0;
   base::instant FilledAt;
   /// Share of the rate that is admitted here.
   double Share = 0;
-  /// Parts that silent sources had when they were heard last, by name.
+  /// Shares that silent sources had at their last heartbeat, by name.
   std::map<std::string, double, std::less<>> SilentShares;
-  /// Sums to pass on: of the instances that report here, and of all with this
-  /// one.
+  /// Sums that a relay passes on: of the instances that report here, and of all
+  /// instances with this one.
   source_demand Zone;
   source_demand Fleet;
-  /// At the last division: the demand of all that were heard, this one
-  /// included, and the part of the rate that was divided among them.
+  /// At the last division: the demand of all fresh sources and of this
+  /// instance, and the share of the rate that was divided among them.
   double FreshDemand = 0;
   double FreshShare = 1;
-  /// What all instances together are asked for a second.
+  /// Operations per second requested at all instances together.
   double FleetDemand = 0;
-  /// FleetDemand is more than the rate.
+  /// FleetDemand is above the rate.
   bool OverRate = false;
-  /// The whole bucket stands at one instance; here, if it is OwnedHere. See
+  /// One instance owns the whole bucket; it is this one if OwnedHere. See
   /// centralized_buckets.hpp.
   bool Centralized = false;
   bool OwnedHere = false;
-  /// hashOf the name of that instance; 0: not drawn yet.
+  /// hashOf the owner's name; 0: not chosen yet.
   std::uint32_t Owner = 0;
-  /// When this instance, drawn in place of another one, begins to keep it, and
-  /// how many tokens it then has.
+  /// When this instance, chosen in place of another owner, starts to own the
+  /// bucket, and how many tokens the bucket then holds.
   base::instant OwnsFrom;
   double InitialTokens = 0;
-  /// The part serves chance arrivals well enough, or there is no fresh news of
-  /// the others to go by instead.
+  /// The share is large enough for random arrivals, or there is no recent
+  /// demand of the others to decide by instead.
   bool Divisible = true;
 };
 
-/// An instance that may keep buckets.
+/// An instance that may own buckets.
 struct owner_candidate {
   std::uint32_t NameHash = 0;
   /// hashOf its name.
@@ -161,61 +171,63 @@
 struct demand_shares {
   demand_limits Limits;
   std::map<base::customer_name, demand_account, std::less<>> Accounts;
-  /// Since when this instance is out of touch; nothing while it is not.
+  /// Since when this instance is isolated, in contact with neither a majority
+  /// nor the store; nothing while it is not.
   std::optional<base::instant> IsolatedSince;
-  /// The first division of rates.
+  /// When rates were first divided.
   std::optional<base::instant> StartedAt;
-  /// Whether a majority has been heard since the start.
+  /// There was contact with a majority since the start, or MaxStartupTime is
+  /// over.
   bool StartupDone = false;
-  /// This instance leaves its parts to the others.
+  /// This instance has left its shares to the others.
   bool GaveUpShare = false;
-  /// How many instances the sums to pass on hold.
+  /// How many instances the sums to pass on cover.
   std::size_t ZoneInstances = 0;
   std::size_t FleetInstances = 0;
   std::size_t UnknownInstances = 0;
-  /// When rates were gathered last; see centralized_buckets.hpp.
+  /// When buckets were last centralized; see centralized_buckets.hpp.
   std::optional<base::instant> LastCentralizedAt;
-  /// Since when without a break.
+  /// Since when buckets are centralized without a break.
   std::optional<base::instant> CentralizedSince;
-  /// Among which the keepers of buckets were drawn.
+  /// The instances among which the bucket owners were chosen.
   std::vector<owner_candidate> OwnerCandidates;
 };
 
-/// Takes in the rates and bursts in force.
+/// Applies the rates and bursts in force.
 void applyRates(demand_shares &Shares, const std::vector<customer> &Customers,
                 base::instant Now);
 
-/// What the bucket of \p Account holds at most. At least one operation where
-/// there is demand: in a large fleet a small customer's part is less, and every
-/// operation would be refused. What this adds to the burst is less than one for
-/// each instance that it calls.
+/// The most tokens that the bucket of \p Account holds. At least one where
+/// there is demand: in a large fleet a small customer's share is less, and
+/// every operation would be refused. This adds less than one token to the burst
+/// for each instance that the customer calls.
 double bucketDepth(const demand_shares &Shares, const demand_account &Account);
 
-/// Tokens a second that come into the bucket of \p Account.
+/// Tokens per second that are added to the bucket of \p Account.
 double fillRate(const demand_shares &Shares, const demand_account &Account);
 
 /// Tokens that an operation of \p Priority leaves to more urgent ones.
 double tokensReserved(const demand_shares &Shares,
                       const demand_account &Account, unsigned Priority);
 
-/// Adds to the bucket what has come in up to \p Now.
+/// Adds the tokens due up to \p Now to the bucket.
 void fillBucket(const demand_shares &Shares, demand_account &Account,
                 base::instant Now);
 
 /// Tokens of \p Account beyond what its own callers are about to need.
 double spareTokens(const demand_shares &Shares, const demand_account &Account);
 
-/// Works out the parts anew. Call at each heartbeat. \p InContact: a majority
-/// is heard or the store is reached.
+/// Recomputes the shares. Call at each heartbeat. \p InContact: with a majority
+/// of the instances or with the store.
 void divideRates(demand_shares &Shares, const membership &Membership,
                  bool InContact, base::instant Now);
 
-/// Leaves this instance's parts to the others: from now on it announces no
-/// demand and admits the idle part only. For an instance that sends its callers
-/// away.
+/// Leaves this instance's shares to the others: from now on it announces no
+/// demand and admits the idle share only. For an instance that sends its
+/// callers away.
 void yieldRates(demand_shares &Shares);
 
-/// The demands to announce; from then on they count here too.
+/// The demands to announce; from now on they count here too.
 std::vector<wire::demand_report> announceDemand(demand_shares &Shares,
                                                 base::instant Now);
 
@@ -223,29 +235,30 @@
 wire::demand_digest zoneDemands(const demand_shares &Shares);
 wire::demand_digest fleetDemands(const demand_shares &Shares);
 
-/// What became of an operation.
+/// Whether an operation is admitted.
 struct demand_verdict {
   bool Admitted = false;
-  /// A token was taken for it: settleDemandToken has to follow.
+  /// A token was taken for it: settleDemandToken must follow.
   bool Counted = false;
-  /// Admitted: how long to wait first. Refused: when there is a token.
+  /// Admitted: how long to wait first. Refused: when a token is available.
   base::microseconds Wait{0};
-  /// Refused: tokens that were missing.
+  /// Refused: how many tokens were missing.
   double Missing = 0;
 };
 
-/// Takes a token of \p Customer, waiting for it \p MaxWait at most.
-/// \p Priority 0 is the highest. Unknown customers are refused.
+/// Takes a token of \p Customer if one is available within \p MaxWait. \p
+/// Priority 0 is the highest. Unknown customers are refused.
 demand_verdict takeDemandToken(demand_shares &Shares, std::string_view Customer,
                                unsigned Priority, base::microseconds MaxWait,
                                base::instant Now);
 
-/// Ends an operation whose verdict was Counted. One that no endpoint has \p
-/// Run, for sure, gives its token back: an overloaded endpoint makes callers
-/// come again, and were each attempt counted, they would be refused for their
-/// rate though they got nothing of it. Until then the token counts as if it was
-/// in the bucket, which takes in no more for it; else, while all is turned
-/// away, tokens would add up outside of the bucket, and then run at once.
+/// Settles an operation whose verdict was Counted. One that certainly ran at no
+/// endpoint (\p Run is false) gives its token back: an overloaded endpoint
+/// makes callers retry, and if each attempt counted, they would be refused for
+/// their rate though they got nothing of it. Until then the token counts as if
+/// it were in the bucket, which takes in no more in its place; otherwise, while
+/// everything is turned away, tokens would add up outside of the bucket and
+/// then run all at once.
 void settleDemandToken(demand_shares &Shares, std::string_view Customer,
                        bool Run, base::instant Now);
 
--- a/packages/control/include/redwinggw/control/share_allocator.hpp
+++ b/packages/control/include/redwinggw/control/share_allocator.hpp
@@ -12,7 +12,7 @@
 #include <string_view>
 #include <vector>
 
-/// The budgets of the customers whose partitions this instance holds.
+/// The token buckets of the customers whose partitions this instance holds.
 namespace redwinggw::control {
 
 using share_plans = std::map<base::customer_name, share_plan, std::less<>>;
@@ -22,7 +22,7 @@
   share_limits Limits;
   std::uint16_t Partitions = 1;
   std::map<base::customer_name, share_bucket, std::less<>> Buckets;
-  /// Tokens given since the start.
+  /// Tokens allocated since the start.
   double Allocated = 0;
 };
 
@@ -32,26 +32,27 @@
 /// How the buckets of a partition start.
 struct partition_start {
   std::vector<saved_level> Levels;
-  /// Nobody ever gave for this partition: the buckets are full.
+  /// Nobody ever held the lease of this partition: the buckets are full.
   bool NeverHeld = false;
 };
 
-/// Begins to give for \p Partition. Buckets start from the levels that the
-/// former giver left; without a level they are empty, since what a giver that
-/// died had given is not known: all its grants are dead by now, and what it
-/// could still have given until now is more than an empty bucket.
+/// Starts to allocate for \p Partition. Buckets start from the levels that the
+/// former allocator left, and empty without a level: it is not known what an
+/// allocator that failed had granted. All its grants have expired by now, and
+/// what it could still have granted until now is more than an empty bucket.
 void startPartition(share_allocator &Allocator, const share_plans &Plans,
                     std::uint16_t Partition, const partition_start &Start,
                     base::instant Now);
 
-/// Forgets the buckets of \p Partition.
+/// Drops the buckets of \p Partition.
 void dropPartition(share_allocator &Allocator, std::uint16_t Partition);
 
-/// What the buckets of \p Partition hold, for the next giver.
+/// The levels of the buckets of \p Partition, for the next allocator.
 std::vector<saved_level> levelsOf(share_allocator &Allocator,
                                   std::uint16_t Partition, base::instant Now);
 
-/// Changes rates and bursts. \p Holds tells which partitions are held here.
+/// Applies the rates and bursts. \p Holds: whether this instance holds the
+/// lease of a partition.
 void applyAllocatorPlans(share_allocator &Allocator, const share_plans &Plans,
                          const std::function<bool(std::uint16_t)> &Holds,
                          base::instant Now);
--- a/packages/control/include/redwinggw/control/share_bucket.hpp
+++ b/packages/control/include/redwinggw/control/share_bucket.hpp
@@ -5,34 +5,35 @@
 #include <cstdint>
 #include <deque>
 
-/// The budget of one customer at its share giver.
+/// The token bucket of one customer at its share allocator.
 ///
-/// Bound: in every window of length w at most Burst + Rate * w tokens are
+/// Bound: in every window of length w, at most Burst + Rate * w tokens are
 /// spent over the whole fleet. Proof: Tokens + Outstanding never exceeds Burst,
 /// where a grant counts as outstanding from when it is made until Ttl later.
-/// The requester counts Ttl from before it sent its request, so a grant is
-/// spent while it is outstanding or never. A token spent in [a, b] was
+/// The consumer counts Ttl from before it sent its request, so it spends a
+/// grant while that is outstanding or not at all. A token spent in [a, b] was
 /// therefore in the bucket or outstanding at a (at most Burst of them), or was
-/// filled in since (at most Rate * (b - a)). Returning nothing and losing
-/// messages only lowers what is spent.
+/// added since (at most Rate * (b - a)). Unspent tokens are not returned and
+/// lost messages are not made up for, which only lowers what is spent.
 ///
-/// Price: while much is outstanding the bucket does not fill, so the full rate
-/// needs Burst >= Rate * Ttl. Ttl is chosen accordingly; see planOf.
+/// Cost: while many tokens are outstanding the bucket does not fill, so the
+/// full rate needs Burst >= Rate * Ttl. Ttl is chosen accordingly; see planOf.
 namespace redwinggw::control {
 
 struct share_limits {
   base::microseconds MaxTtl{250'000};
-  /// Shorter grants would lapse on their way.
+  /// Grants with a shorter Ttl would expire in transit.
   base::microseconds MinTtl{30'000};
-  /// Switched off by tests only: outstanding grants do not fill the bucket.
+  /// Only tests switch this off: outstanding grants take up room in the bucket.
   bool CountOutstanding = true;
-  /// Switched off by tests only: a holder spends lapsed tokens too.
+  /// Only tests switch this off: a consumer does not spend expired tokens.
   bool CheckExpiry = true;
-  /// Switched off by tests only: a holder takes doubled and unasked grants.
+  /// Only tests switch this off: a consumer ignores duplicate and unrequested
+  /// grants.
   bool MatchNumbers = true;
 };
 
-/// What a customer is entitled to, and for how long a grant counts.
+/// What a customer is entitled to, and how long a grant is valid.
 struct share_plan {
   double Rate = 0;
   double Burst = 0;
@@ -41,11 +42,11 @@
   friend bool operator==(const share_plan &, const share_plan &) = default;
 };
 
-/// Chooses Ttl so that at the full rate about a quarter of the burst is
-/// outstanding. Below Burst = Rate * MinTtl the full rate is not reached.
+/// Chooses Ttl so that about a quarter of the burst is outstanding at the full
+/// rate. With Burst below Rate * MinTtl the full rate is not reached.
 share_plan planOf(double Rate, double Burst, const share_limits &Limits);
 
-/// A grant that may still be spent.
+/// A grant whose tokens may still be spent.
 struct outstanding_grant {
   base::instant Until;
   double Tokens = 0;
@@ -55,26 +56,26 @@
 struct share_bucket {
   share_plan Plan;
   double Tokens = 0;
-  /// By Until, ascending.
+  /// In ascending order of Until.
   std::deque<outstanding_grant> Outstanding;
   base::instant FilledAt;
 };
 
 double outstandingTokens(const share_bucket &Bucket);
 
-/// Brings the bucket up to \p Now.
+/// Adds the tokens up to \p Now and drops expired grants.
 void advance(share_bucket &Bucket, base::instant Now,
              const share_limits &Limits);
 
-/// Changes the plan at \p Now; a lower burst takes effect at once.
+/// Changes the plan at \p Now; a lower burst applies at once.
 void setPlan(share_bucket &Bucket, const share_plan &Plan, base::instant Now,
              const share_limits &Limits);
 
-/// Takes up to \p Wanted whole tokens out and counts them as outstanding.
+/// Removes up to \p Wanted whole tokens and counts them as outstanding.
 double allocateTokens(share_bucket &Bucket, double Wanted, base::instant Now,
                       const share_limits &Limits);
 
-/// Time until a whole token can be there; zero when it is.
+/// Time until a whole token can be available; zero if one is.
 base::microseconds timeToToken(const share_bucket &Bucket, base::instant Now);
 
 } // namespace redwinggw::control
--- a/packages/control/include/redwinggw/control/share_consumer.hpp
+++ b/packages/control/include/redwinggw/control/share_consumer.hpp
@@ -13,27 +13,30 @@
 #include <string_view>
 #include <vector>
 
-/// The tokens that one instance holds and the requests that wait for some.
+/// The tokens granted to one instance and the requests that wait for tokens
+/// there.
 namespace redwinggw::control {
 
 struct consumer_limits {
-  /// Demand is averaged over this time and asked for ahead for that one.
+  /// Demand is averaged over DemandWindow, and tokens are requested ahead for
+  /// RequestAhead.
   base::microseconds DemandWindow{100'000};
-  /// At most half a Ttl, or the tokens would lapse.
+  /// At most half a Ttl is used, or the tokens would expire unspent.
   base::microseconds RequestAhead{125'000};
-  /// An unanswered request is taken for lost.
+  /// A request without an answer counts as lost after this time.
   base::microseconds ResendAfter{40'000};
-  /// A request goes on waiting for so long after the giver had no token. The
-  /// outstanding grants keep the giver's bucket behind that of a single
-  /// process by at most a Ttl, so a request inside the rate finds its token.
+  /// A request waits this long after the allocator first had no token for it.
+  /// Outstanding grants delay the allocator's bucket by at most one Ttl against
+  /// the bucket of a single process, so a request within the rate gets its
+  /// token.
   base::microseconds MaxWait{500'000};
-  /// A giver that did not answer for so long has left a backlog of requests
-  /// that may be inside the rate: these wait up to their deadline.
+  /// An allocator that did not answer for this long leaves a backlog of
+  /// requests that may be within the rate: they wait up to their deadlines.
   base::microseconds OutageTime{200'000};
   std::size_t MaxWaiters = 10'000;
 };
 
-/// Tokens that may be spent until they lapse.
+/// Tokens that may be spent until they expire.
 struct held_tokens {
   base::instant Until;
   double Count = 0;
@@ -43,7 +46,7 @@
 struct share_waiter {
   std::uint64_t Ticket = 0;
   base::instant Deadline;
-  /// When the giver first had no token for it.
+  /// When the allocator first had no token for it.
   std::optional<base::instant> RefusedAt;
 };
 
@@ -52,29 +55,30 @@
   std::uint16_t Partition = 0;
   std::deque<held_tokens> Held;
   std::deque<share_waiter> Waiters;
-  /// Requests in the last DemandWindow, decaying.
+  /// Requests in the last DemandWindow, with exponential decay.
   double Demand = 0;
   base::instant DemandAt;
-  /// The giver had nothing: ask again then.
+  /// The allocator had no token: the next request goes out then.
   base::instant NextRequestAt;
-  /// The first request since the giver's last answer.
+  /// When the first request after the allocator's last answer was sent.
   std::optional<base::instant> UnansweredSince;
-  /// Until then requests are refused at their deadline only.
+  /// Until then waiting requests are refused at their deadlines only.
   base::instant RefuseAtDeadlineUntil;
 };
 
-/// A request to a giver that may still be answered.
+/// A request to an allocator that may still be answered.
 struct share_request {
   std::uint64_t Number = 0;
   std::uint16_t Partition = 0;
   base::instant SentAt;
 };
 
-/// What became of a waiting request.
+/// The outcome of a waiting request.
 struct share_verdict {
   std::uint64_t Ticket = 0;
   bool Admitted = false;
-  /// The giver did not answer, so the refusal may be wrongful.
+  /// The allocator did not answer, so the refused request may be within the
+  /// rate.
   bool Unanswered = false;
   base::microseconds RetryAfter{0};
 };
@@ -83,7 +87,7 @@
   std::uint64_t Spent = 0;
   std::uint64_t Refused = 0;
   std::uint64_t RefusedUnanswered = 0;
-  /// Tokens that lapsed unspent.
+  /// Tokens that expired unspent.
   double Lapsed = 0;
   std::uint64_t UnexpectedGrants = 0;
 };
@@ -93,8 +97,8 @@
   consumer_limits Limits;
   share_limits Shares;
   std::map<base::customer_name, share_account, std::less<>> Accounts;
-  /// Customers with demand, tokens or requests that wait; the others cost
-  /// nothing.
+  /// Customers with demand, tokens or waiting requests; only these are
+  /// processed.
   std::set<base::customer_name, std::less<>> Active;
   std::vector<share_request> Requests;
   std::uint64_t LastNumber = 0;
@@ -102,31 +106,32 @@
   consumer_counters Counters;
 };
 
-/// Spends a token of \p Customer that is here. Requests that wait go first.
+/// Spends a token of \p Customer that is held here. Fails while other requests
+/// wait.
 bool takeToken(share_consumer &Consumer, std::string_view Customer,
                base::instant Now);
 
-/// Lets a request wait; answers its ticket. Its verdict comes from onGrant or
+/// Queues a request and returns its ticket. Its verdict comes from onGrant or
 /// dueVerdicts. Precondition: the customer has an account.
 std::uint64_t waitForToken(share_consumer &Consumer, std::string_view Customer,
                            base::instant Now, base::instant Deadline);
 
-/// The requests to send now, one a partition at most, with numbers given.
+/// The numbered requests to send now, at most one per partition.
 std::vector<wire::share_message> dueRequests(share_consumer &Consumer,
                                              base::instant Now);
 
-/// Takes in a grant. Guards against doubled and late ones: only the first
-/// answer to a request counts, and its tokens lapse a Ttl after the request
-/// was sent, on this clock.
+/// Processes a grant. Duplicate and late grants do no harm: only the first
+/// answer to a request counts, and its tokens expire one Ttl after the request
+/// was sent, by the local clock.
 std::vector<share_verdict> onGrant(share_consumer &Consumer,
                                    const wire::share_message &Grant,
                                    base::instant Now);
 
-/// Forgets the request that \p Answer answers without tokens, so that the
-/// next goes out. False when it was not asked or too old.
+/// Drops the request to which \p Answer brings no tokens, so that the next one
+/// goes out. False when there is no such request or it is too old.
 bool dropRequest(share_consumer &Consumer, const wire::share_message &Answer);
 
-/// The verdicts on requests whose time is over.
+/// The verdicts on requests that need not wait any longer.
 std::vector<share_verdict> dueVerdicts(share_consumer &Consumer,
                                        base::instant Now);
 
--- a/packages/control/include/redwinggw/control/share_lease.hpp
+++ b/packages/control/include/redwinggw/control/share_lease.hpp
@@ -11,42 +11,46 @@
 #include <string_view>
 #include <vector>
 
-/// The lease of one partition of the customers: its holder is the share giver.
+/// The lease of one partition of the customers: its holder is the share
+/// allocator.
 ///
-/// Two givers at a time could give the double. They exclude each other by
-/// time: the holder gives until Length after it SENT its last renewal; its
-/// grants are dead a Ttl later. A taker waits Length from its first sight of
-/// the unchanged row, which is later than that renewal, and a Ttl more.
+/// Two allocators at the same time could admit twice the rate. Time keeps them
+/// apart: the holder allocates until Length after it SENT its last renewal, and
+/// its grants expire one Ttl later. An instance that wants to take the lease
+/// over waits Length from when it first saw the unchanged row, which is later
+/// than that renewal, and one more Ttl.
 ///
 /// Store outage: the holder cannot renew, and must not stop. It goes on past
-/// its lease while it hears a majority of the instances and none of them
-/// knows of an answer that the store gave anybody after the lease's end. A
-/// taker that had such an answer says so in its heartbeats, waits until a
-/// majority echoed one of these, then HearBound and a Ttl more. The two
-/// majorities share an instance; what that one says afterwards names the
-/// answer. After HearBound the holder has its word or does not hear it, and
-/// stops. An instance that starts again in between counts for the holder only
-/// once it read the store itself, which is a later answer. Fleets above
-/// DirectLimit do without this rule, since there an echo of a majority takes
-/// too long: the holder stops at the lease's end.
+/// its lease while it is in contact with a majority of the instances and none
+/// of them knows of an answer that the store gave to anybody after the end of
+/// the lease. An instance that wants to take over and had such an answer says
+/// so in its heartbeats, waits until a majority acknowledged one of these, then
+/// for the time after which contact counts as lost, and one more Ttl. The two
+/// majorities share an instance, whose later heartbeats report the answer. By
+/// the end of that time the holder has received such a heartbeat or lost
+/// contact with that instance, and stops. An instance that restarts in between
+/// counts for the holder only once it has read the store itself, which is a
+/// later answer. Fleets above DirectLimit do without this rule, since an
+/// acknowledgement from a majority takes too long there: the holder stops at
+/// the end of its lease.
 namespace redwinggw::control {
 
 struct lease_limits {
   base::microseconds Length{2'000'000};
   base::microseconds RenewEvery{650'000};
   base::microseconds RetryEvery{200'000};
-  /// For clocks that run unevenly and ages rounded to milliseconds.
+  /// For clocks that run at different speeds and ages rounded to milliseconds.
   base::microseconds Margin{100'000};
-  /// The longest time for which a grant counts.
+  /// The longest time for which a grant is valid.
   base::microseconds Ttl{250'000};
-  /// Another instance must be the preferred giver for so long before the
-  /// lease is handed over.
+  /// The lease is handed over once another instance has been the preferred
+  /// allocator for this long.
   base::microseconds HandOverAfter{3'000'000};
-  /// A lease is handed over only so soon after a renewal was sent that took
-  /// effect: the holder stops giving before it releases, and when the store
-  /// has gone down nobody could take over.
+  /// A lease is handed over only this soon after a successful renewal was sent:
+  /// the holder stops allocating before it releases the lease, and if the store
+  /// has failed meanwhile nobody could take over.
   base::microseconds HandOverWithin{150'000};
-  /// Switched off by tests only.
+  /// Only tests switch these off.
   bool TakerWaits = true;
   bool HolderChecksEnd = true;
   bool ExtensionNeedsMajority = true;
@@ -54,7 +58,7 @@
   bool CountFromSending = true;
 };
 
-/// What a bucket held when its giver stopped.
+/// What a bucket held when its allocator stopped.
 struct saved_level {
   base::customer_name Customer;
   double Tokens = 0;
@@ -64,15 +68,16 @@
 /// The value of the row `share/<partition>`.
 struct lease_row {
   base::instance_name Holder;
-  /// Unique to each commit, so that a lost answer is found out by reading.
+  /// Unique to each commit, so that reading the row shows whether a commit
+  /// whose answer was lost took effect.
   std::string Id;
-  /// The holder has stopped for good; the next one starts from Levels.
+  /// The holder has stopped for good; its successor starts from Levels.
   bool Released = false;
   std::vector<saved_level> Levels;
 };
 
 std::string toText(const lease_row &Row);
-/// Nothing when \p Text is not a row.
+/// Nothing when \p Text is not a valid row.
 std::optional<lease_row> parseLeaseRow(std::string_view Text);
 std::string leaseKey(std::uint16_t Partition);
 
@@ -80,11 +85,11 @@
 struct lease_commit {
   lease_row Row;
   base::instant SentAt;
-  /// It takes the lease rather than renews or releases it.
+  /// Takes the lease instead of renewing or releasing it.
   bool TakesOver = false;
-  /// What the former holder left, when it takes the lease.
+  /// The levels that the former holder left, if this takes the lease.
   std::vector<saved_level> InitialLevels;
-  /// There was no row: nobody ever gave.
+  /// There was no row: nobody ever held the lease.
   bool NeverHeld = false;
 };
 
@@ -96,65 +101,68 @@
   lease_row Row;
   /// When the row was first seen with this version.
   base::instant ObservedAt;
-  /// Since then our heartbeats say that the store answered us after the end
-  /// of the holder's lease.
+  /// Since when the own heartbeats say that the store answered this instance
+  /// after the end of the holder's lease.
   std::optional<base::instant> AnnouncedSince;
-  /// Since then it may be taken.
+  /// From when on this instance may take the lease.
   std::optional<base::instant> TakeOverAt;
   bool Holding = false;
   base::instant ValidUntil;
-  /// Stopped giving; the release is not yet known to be in the store.
+  /// Set once allocation has stopped, until the release is known to be in the
+  /// store.
   std::optional<std::vector<saved_level>> Releasing;
-  /// The commit under way, and former ones that may still take effect.
+  /// The commit in flight, and earlier ones that may still take effect.
   std::optional<lease_commit> Pending;
   std::vector<lease_commit> Unresolved;
-  /// After a failed commit: not before then.
+  /// No new commit before then, after one failed.
   base::instant RetryAt;
   /// The levels to start from, after lease_change::Taken.
   std::vector<saved_level> InitialLevels;
   bool NeverHeld = false;
-  /// How often the next giver was told of the release.
+  /// How often the next allocator was told of the release.
   unsigned Announcements = 0;
   base::instance_name Preferred;
-  /// The next in line watches the row too, so that it can take over sooner.
+  /// The second choice reads the row too, so that it can take over sooner.
   base::instance_name Standby;
   base::instant PreferredSince;
 };
 
-/// What happened to the lease through an answer of the store.
+/// How an answer of the store changed who holds the lease.
 enum class lease_change { None, Taken, Lost };
 
-/// Notes which instance should give, as of \p Now.
+/// Sets which instance should be the allocator, as of \p Now.
 void setPreferred(share_lease &Lease, const base::instance_name &Preferred,
                   base::instant Now);
 
-/// True when the holder should release: another one is preferred for long.
+/// True when the holder should release the lease: another instance has been
+/// preferred for long enough.
 bool shouldHandOver(const share_lease &Lease, const base::instance_name &Self,
                     const lease_limits &Limits, base::instant Now);
 
-/// Stops holding for good, with what the buckets held. Precondition: Holding.
+/// Stops holding the lease for good and leaves the levels of the buckets to the
+/// successor. Precondition: Holding.
 void release(share_lease &Lease, std::vector<saved_level> Levels);
 
-/// The row to commit now, checked against Version, if any is due. \p Id must
-/// be new. Then onCommitted or onCommitFailed must follow.
+/// The row to commit now, conditional on Version, if a commit is due. \p Id
+/// must be new. onCommitted or onCommitFailed must follow.
 std::optional<lease_row> dueCommit(share_lease &Lease,
                                    const membership &Membership,
                                    const lease_limits &Limits, bool Draining,
                                    std::string Id, base::instant Now);
 
-/// The commit under way took effect.
+/// The commit in flight took effect.
 lease_change onCommitted(share_lease &Lease, std::uint64_t Version,
                          const lease_limits &Limits, base::instant Now);
 
-/// It conflicted, or nobody knows whether it took effect: read the row.
+/// The commit in flight conflicted, or its outcome is unknown: read the row.
 void onCommitFailed(share_lease &Lease, const lease_limits &Limits,
                     base::instant Now);
 
-/// Takes in a row as read. An older version than known changes nothing.
+/// Processes the row as read. A version that is not newer changes nothing.
 lease_change onRow(share_lease &Lease, const storage::row &Row,
                    const lease_limits &Limits, base::instant Now);
 
-/// True when this instance may give at \p Now. Check it for each grant.
+/// True when this instance may allocate at \p Now. Check it for each grant.
 bool mayAllocate(const share_lease &Lease, const membership &Membership,
                  const lease_limits &Limits, base::instant Now);
 
--- a/packages/control/include/redwinggw/control/share_node.hpp
+++ b/packages/control/include/redwinggw/control/share_node.hpp
@@ -13,8 +13,8 @@
 #include <string_view>
 #include <vector>
 
-/// All decisions on shares in one instance: holder, giver and leases together.
-/// share_service.hpp is the shell.
+/// All decisions on shares in one instance: consumer, allocator and leases
+/// together. Without I/O, which is in share_service.hpp.
 namespace redwinggw::control {
 
 struct share_settings {
@@ -31,11 +31,11 @@
   wire::share_message Message;
 };
 
-/// What the shell does next.
+/// What the caller has to do next.
 struct share_actions {
   std::vector<share_send> Sends;
   std::vector<share_verdict> Verdicts;
-  /// Read all rows `share/` and hand them to onRows.
+  /// Read all rows `share/` and pass them to onRows.
   bool Read = false;
   /// Commit this; then call onCommitAnswer.
   std::optional<storage::commit_request> Commit;
@@ -51,13 +51,14 @@
   share_consumer Consumer;
   std::vector<share_lease> Leases;
   share_allocator Allocator;
-  /// Who said to give a partition, and until when that is believed.
+  /// Which instance was named as the allocator of a partition, and until when
+  /// that is believed.
   struct allocator_hint {
     base::instance_name Allocator;
     base::instant Until;
   };
   std::map<std::uint16_t, allocator_hint> Hints;
-  /// Partitions in the commit under way, in its order.
+  /// Partitions in the commit in flight, in its order.
   std::vector<std::uint16_t> Committing;
   std::uint64_t LastId = 0;
   bool Reading = false;
@@ -68,31 +69,32 @@
 share_node makeShareNode(const base::instance_name &Self,
                          std::uint64_t Incarnation, share_settings Settings);
 
-/// The rates and bursts in force.
+/// Applies the rates and bursts in force.
 void applyPlans(share_node &Node, const std::vector<customer> &Customers,
                 base::instant Now);
 
-/// Leases, asking ahead, and requests whose time is over. Call every few
-/// milliseconds while requests wait, else each 50 ms.
+/// Steps the leases, requests tokens ahead, and ends requests that need not
+/// wait any longer. Call every few milliseconds while requests wait, else every
+/// 50 ms.
 share_actions onShareTick(share_node &Node, const membership &Membership,
                           base::instant Now);
 
-/// The requests due for tokens only; call after waitForToken.
+/// Only sends the token requests that are due; call after waitForToken.
 share_actions requestTokens(share_node &Node, const membership &Membership,
                             base::instant Now);
 
-/// Takes in a share message from \p From.
+/// Processes a share message from \p From.
 share_actions onShareMessage(share_node &Node, const membership &Membership,
                              const base::instance_name &From,
                              const wire::share_message &Message,
                              base::instant Now);
 
-/// The rows read, or nothing when the store did not answer.
+/// Processes the rows read; nothing when the store did not answer.
 void onRows(share_node &Node,
             const std::optional<std::vector<storage::row>> &Rows,
             base::instant Now);
 
-/// The versions that a commit gave, or nothing when it failed.
+/// Processes the versions that a commit returned; nothing when it failed.
 void onCommitAnswer(share_node &Node,
                     const std::optional<std::vector<std::uint64_t>> &Versions,
                     base::instant Now);
--- a/packages/control/include/redwinggw/control/share_service.hpp
+++ b/packages/control/include/redwinggw/control/share_service.hpp
@@ -13,29 +13,32 @@
 #include <memory>
 #include <string_view>
 
-/// Rate and burst of each customer over the whole fleet: the shell around
-/// share_consumer.hpp, share_allocator.hpp and share_lease.hpp.
+/// Enforces the rate and burst of each customer over the whole fleet: network,
+/// store and timers around the decisions of share_node.hpp.
 namespace redwinggw::control {
 
-/// How the rate is shared out.
+/// How a customer's rate is divided among the instances.
 enum class share_policy {
-  Shared, ///< expiring shares, moved to where the demand is
+  Shared, ///< expiring grants, allocated where the demand is
   Static, ///< baseline: each of n listed instances has an nth
 };
 
 struct share_options {
   share_policy Policy = share_policy::Shared;
-  /// Customers are spread over so many leases. The same in all instances.
+  /// The number of leases over which customers are spread. The same in all
+  /// instances.
   std::uint16_t Partitions = 16;
 };
 
 /// For the status page and the metrics.
 struct share_status {
-  /// Tokens given to holders, spent here, requests refused here.
+  /// Tokens allocated to consumers, tokens spent here, and requests refused
+  /// here.
   double Allocated = 0;
   std::uint64_t Spent = 0;
   std::uint64_t Refused = 0;
-  /// Refused although the giver never answered: may have been inside the rate.
+  /// Refused although the allocator never answered: may have been within the
+  /// rate.
   std::uint64_t RefusedUnanswered = 0;
   std::uint64_t Waiting = 0;
   /// Partitions whose lease is held here.
@@ -52,24 +55,25 @@
   share_service &operator=(const share_service &) = delete;
   ~share_service();
 
-  /// Begins to hold leases and to give. Precondition: Peers was started.
+  /// Starts to acquire leases and to allocate. Precondition: Peers was started.
   void start();
 
-  /// Gives the leases back. Requests are still admitted until stop.
+  /// Releases the leases. Requests are still admitted until stop.
   void drain();
-  /// Ends all work; requests that wait are refused with errc::Draining.
+  /// Ends all work; waiting requests fail with errc::Draining.
   void stop();
 
-  /// The rates and bursts in force.
+  /// Applies the rates and bursts in force.
   void apply(const configuration &Configuration);
 
-  /// Takes one token for \p Customer; waits for it until \p Deadline. Fails
-  /// with errc::OverRate and RetryAfter when the giver says that it will not
-  /// be there in time, or none came; errc::NotFound for an unknown customer.
+  /// Takes one token for \p Customer and waits for it until \p Deadline. Fails
+  /// with errc::OverRate and RetryAfter when the allocator says that no token
+  /// will be available in time, or none came; with errc::NotFound for an
+  /// unknown customer.
   base::task<base::result<void>> admit(base::customer_name Customer,
                                        base::instant Deadline);
 
-  /// Takes a token that is here already; never waits.
+  /// Takes a token that is already held here; never waits.
   bool tryTake(std::string_view Customer);
 
   share_status status() const;
--- a/packages/control/src/centralized_buckets.cpp
+++ b/packages/control/src/centralized_buckets.cpp
@@ -11,23 +11,24 @@
 using base::instant;
 using base::microseconds;
 
-/// How much later the others may notice that a keeper is silent than it notices
-/// itself that it hears no majority.
+/// The time that may lie between the others noticing that an owner is silent
+/// and the owner noticing that it is not in contact with a majority.
 constexpr base::milliseconds OwnerChangeDelay{600};
 
-/// Instances that start together come to hear a majority within so long.
+/// Instances that start together are in contact with a majority within this
+/// time.
 constexpr base::milliseconds JointStartupTime{800};
 
-/// What the keepers of a fleet in which nobody kept a bucket begin with, in
+/// What owners start with in a fleet in which nobody owned a bucket before, in
 /// seconds of the rate: less than the time for which nobody was served.
 constexpr double InitialSeconds = 0.3;
 
-/// How long after the last majority an instance that hears none begins to
-/// divide.
+/// How long after its last contact with a majority an instance begins to divide
+/// rates.
 constexpr base::milliseconds DivideDelay{1000};
 
-/// Instances that may keep buckets, this one included, as places for draws with
-/// the hashes of their names.
+/// The instances that may own buckets, this one included, with the hashes of
+/// their names.
 std::vector<owner_candidate> candidates(const membership &Membership) {
   std::vector<owner_candidate> Found;
   const auto Add = [&](const base::instance_name &Name) {
@@ -51,17 +52,17 @@
   return Best == Candidates.end() ? 0 : Best->Instance;
 }
 
-/// A keeper that says that it leaves has stopped to keep; of one that fell
-/// silent it is not known when it notices that it hears nobody.
+/// An owner that announces that it leaves has stopped owning buckets; of one
+/// that fell silent it is not known when it notices that it is cut off.
 bool hasStopped(const membership &Membership, std::uint32_t Owner) {
   const member *Member = findByHash(Membership, Owner);
   return Member != nullptr && Member->State == member_state::Leaving;
 }
 
-/// Whether no instance that is heard has gathered for longer than since a
-/// moment ago: then nobody has kept a bucket before, as a keeper would be heard
-/// by somebody of every majority. So it is when all have started at the same
-/// time.
+/// Whether no instance in contact has centralized buckets for more than a
+/// moment: then nobody owned a bucket before, as an owner would be in contact
+/// with some instance of every majority. This is the case when all have started
+/// at the same time.
 bool hadNoOwners(const demand_shares &Shares, const membership &Membership,
                  instant Now) {
   return !hasCentralizedBuckets(Shares, Now) &&
@@ -79,8 +80,8 @@
   Account.InitialTokens = InitialTokens;
 }
 
-/// Draws anew only after a change: it takes a draw for each customer and
-/// instance.
+/// Chooses owners again only after a change, as that compares all instances for
+/// each customer.
 void chooseOwners(demand_shares &Shares, const membership &Membership,
                   instant Now) {
   auto Candidates = candidates(Membership);
@@ -103,7 +104,7 @@
 
 void applyCentralized(const demand_shares &Shares, demand_account &Account,
                       bool OwnedHere) {
-  // Whoever comes to keep it does not know what was spent.
+  // A new owner does not know what was spent.
   const bool Begins = OwnedHere && !Account.OwnedHere;
   Account.Centralized = true;
   Account.OwnedHere = OwnedHere;
@@ -114,7 +115,7 @@
   Account.Tokens = std::min(Account.Tokens, bucketDepth(Shares, Account));
 }
 
-/// The token that a caller may get in time: how long it waits for it.
+/// How long a caller must wait until the bucket holds \p Needed tokens.
 microseconds waitForTokens(const demand_shares &Shares,
                            const demand_account &Account, double Needed) {
   const double FillRate = fillRate(Shares, Account);
@@ -143,7 +144,7 @@
   } else {
     Shares.CentralizedSince.reset();
   }
-  // The keepers may not have noticed yet that this instance is silent.
+  // The owners may not have noticed yet that this instance is silent.
   const bool Silent =
       Shares.LastCentralizedAt && Now - *Shares.LastCentralizedAt < DivideDelay;
   const bool Pauses = Silent || (usesRelays(Membership) && !Shares.StartupDone);
--- a/packages/control/src/demand_shares.cpp
+++ b/packages/control/src/demand_shares.cpp
@@ -15,7 +15,7 @@
   return std::chrono::duration<double>(To - From).count();
 }
 
-/// Lets the average decay to \p Now.
+/// Decays the average to \p Now.
 void decay(const demand_shares &Shares, demand_account &Account, instant Now) {
   const double Window =
       std::chrono::duration<double>(Shares.Limits.Window).count();
@@ -30,18 +30,19 @@
       1 / std::chrono::duration<double>(Shares.Limits.Window).count();
 }
 
-/// What the others have of a customer's rate.
+/// Demand and shares of the other instances for one customer.
 struct others_demand {
-  /// Demand of those that are heard, with their idle part.
+  /// Demand of the fresh sources, including their idle shares.
   double FreshDemand = 0;
-  /// Last known demand of those that are silent.
+  /// Last known demand of the silent ones.
   double SilentDemand = 0;
-  /// Share of the whole rate that those had, and of those missed for long.
+  /// Share of the whole rate that the silent ones had, and that of the long
+  /// silent among them.
   double SilentShare = 0;
   double LongSilentShare = 0;
 };
 
-/// The part that a silent source had when it was heard last.
+/// The share that a silent source had at its last heartbeat.
 double silentShareOf(demand_account &Account, const std::string &Name,
                      double Demand) {
   const double Whole = std::max(Account.FreshDemand, Demand);
@@ -54,7 +55,8 @@
   return Account.AnnouncedBefore.back();
 }
 
-/// The sums of a relay hold what this instance told it a moment ago.
+/// Subtracts the demand that this instance announced a moment ago from a
+/// relay's sums that include it.
 double withoutOwn(const demand_account &Account, const demand_source &Source,
                   double Rate) {
   return Source.IncludesOwn ? std::max(0.0, Rate - relayedDemand(Account))
@@ -68,7 +70,7 @@
   Total.LongSilentShare += Demand.LongSilentShare;
 }
 
-/// \p Demand of a silent source, with all of it among the silent.
+/// \p Demand of a silent source, with all of it counted as silent.
 source_demand asSilent(demand_account &Account, const demand_source &Source,
                        source_demand Demand, double Idle) {
   const double Share = silentShareOf(Account, Source.Name, Demand.Rate + Idle);
@@ -100,7 +102,7 @@
   for (const demand_source &Source : Sources) {
     const double Idle = IdleOfOne * Source.Instances;
     if (Source.State == source_state::Unknown) {
-      // Each may be asked for as much as this instance.
+      // Each may have as much demand as this instance.
       Others.FreshDemand += Account.Announced * Source.Instances + Idle;
       continue;
     }
@@ -122,7 +124,7 @@
   return Others;
 }
 
-/// Counts the instances whose demand the sums to pass on hold.
+/// Counts the instances that the sums to pass on cover.
 void countInstances(demand_shares &Shares,
                     const std::vector<demand_source> &Sources) {
   double Zone = 0;
@@ -138,7 +140,8 @@
   Shares.UnknownInstances = static_cast<std::size_t>(Unknown);
 }
 
-/// The part of the rate that is divided among those that are heard.
+/// The share of the rate that is divided among this instance and the fresh
+/// sources.
 double freshShare(const demand_shares &Shares, const others_demand &Others,
                   bool HasMajority) {
   const demand_limits &Limits = Shares.Limits;
@@ -148,10 +151,10 @@
   return std::max(0.0, 1 - Others.SilentShare + TakenOver);
 }
 
-/// The largest part that an instance may take for itself. The others may be
-/// using the whole rate while a new instance has not heard a majority, and
-/// count only the idle part for one that has told them no demand. Right after
-/// the start, an equal part does no harm: all may have started together.
+/// The largest share that an instance may take. While a new instance is not in
+/// contact with a majority, the others may be using the whole rate, and they
+/// count only the idle share for an instance that announced no demand. Right
+/// after the start an equal share does no harm: all may have started together.
 double maxShare(demand_shares &Shares, bool HasMajority, double Instances,
                 instant Now) {
   if (!Shares.StartedAt)
@@ -166,7 +169,8 @@
 }
 
 /// Admits an operation after \p Wait. A bucket that holds hardly more than one
-/// token would give none while an operation runs, so it counts none back.
+/// token would have none while an operation is unsettled, so its operations are
+/// not counted for settlement.
 demand_verdict take(demand_account &Account, base::microseconds Wait) {
   --Account.Tokens;
   if (Account.Divisible)
@@ -174,9 +178,9 @@
   return {true, Account.Divisible, Wait};
 }
 
-/// Whether an operation may go without a token: the part is too small to be
-/// divided in time, and the fleet as a whole is asked for clearly less than the
-/// rate.
+/// Whether an operation may be admitted without a token: the share is too small
+/// to be divided in time, and the demand of the whole fleet is clearly below
+/// the rate.
 bool hasLowDemand(const demand_shares &Shares, const demand_account &Account) {
   const double NewDemand = Account.Demand - Account.Announced;
   return !Account.Divisible &&
@@ -197,7 +201,7 @@
   const demand_limits &Limits = Shares.Limits;
   const double Fraction =
       std::min(Limits.ReservePerPriority * Priority, Limits.MaxReserved);
-  // A bucket too small to divide serves in the order of arrival.
+  // A bucket too small to divide serves operations in order of arrival.
   const double Room = std::max(0.0, bucketDepth(Shares, Account) - 1);
   return Fraction * Room;
 }
@@ -275,7 +279,8 @@
     Account.Share = std::min(Account.Share, Max);
     Account.Divisible = !HasMajority || Isolated || Max < 1 ||
                         bucketDepth(Shares, Account) >= Shares.Limits.MinDepth;
-    // What a keeper has is clamped once it is known whether it still is one.
+    // An owner's tokens are limited later, once it is known whether it still
+    // owns the bucket.
     if (!Account.Centralized)
       Account.Tokens = std::min(Account.Tokens, bucketDepth(Shares, Account));
   }
@@ -301,7 +306,7 @@
 
 std::vector<wire::demand_report> announceDemand(demand_shares &Shares,
                                                 instant Now) {
-  // Below this nothing worth its bytes was asked for lately.
+  // Less demand is not worth its bytes in a heartbeat.
   constexpr double MinDemand = 0.05;
   std::vector<wire::demand_report> Reports;
   for (auto &[Name, Account] : Shares.Accounts) {
--- a/packages/control/src/demand_sources.cpp
+++ b/packages/control/src/demand_sources.cpp
@@ -49,8 +49,8 @@
   return Source;
 }
 
-/// The relay of \p Scope to go by: the one heard last, and while several are
-/// heard always the same, since their sums differ a little.
+/// The relay to use: the one with the latest heartbeat, and while several are
+/// fresh always the same one, since their sums differ a little.
 const member *chosenRelay(const std::vector<const member *> &Relays,
                           const source_times &Times, instant Now) {
   const auto IsBetter = [&](const member *A, const member *B) {
@@ -68,7 +68,7 @@
   return Member.DirectAt && Member.Report.Digest.Scope == Scope;
 }
 
-/// An instance that relays for nobody goes by the sums of its relay.
+/// The sources of an instance that is no relay: the sums of its relay.
 std::vector<demand_source> sourcesOfReporter(const membership &Membership,
                                              const source_times &Times,
                                              instant Now) {
@@ -88,7 +88,7 @@
   return Sources;
 }
 
-/// The relay of each other availability zone to go by.
+/// The relay to use for each other availability zone.
 std::map<std::string_view, const member *>
 zoneRelays(const membership &Membership, const source_times &Times,
            instant Now) {
@@ -103,7 +103,7 @@
   return Chosen;
 }
 
-/// Whether \p Member's demand is part of the sums of \p Relay, of its zone.
+/// Whether the sums of \p Relay, of the same zone, include \p Member's demand.
 bool isCounted(const member &Member, const member &Relay) {
   const auto &Members = Relay.Report.Digest.Members;
   const auto Found = std::ranges::find(Members, wire::hashOf(Member.Name),
@@ -123,8 +123,9 @@
   for (const member &Member : Membership.Members) {
     demand_source Source = sourceOf(Member, Times, Now);
     const auto Relay = Relays.find(Member.Zone);
-    // Whoever has just become a relay is told of by itself and counted by its
-    // former relay for a moment; both are then held against the rate.
+    // An instance that has just become a relay reports its own demand while its
+    // former relay still counts it for a moment; both then count against the
+    // rate.
     const bool CountedByRelay = Source.State != source_state::Fresh &&
                                 Relay != Relays.end() &&
                                 isCounted(Member, *Relay->second);
--- a/packages/control/src/rendezvous.cpp
+++ b/packages/control/src/rendezvous.cpp
@@ -6,7 +6,8 @@
 namespace {
 
 /// Spreads the few differing bits of similar names over all bits: names of
-/// instances differ in their last letter, and one would have most things.
+/// instances differ in their last letter, and one instance would otherwise own
+/// most keys.
 std::uint32_t spread(std::uint32_t Hash) {
   constexpr std::uint32_t First = 0x85ebca6bU;
   constexpr std::uint32_t Second = 0xc2b2ae35U;
--- a/packages/control/src/share_allocator.cpp
+++ b/packages/control/src/share_allocator.cpp
@@ -14,9 +14,9 @@
   return Bucket;
 }
 
-/// The bucket of a customer that is new while its lease is held here. It may
-/// have been removed and added again, with grants still alive, so the whole
-/// burst counts as outstanding at first.
+/// The bucket of a customer that is added while this instance holds its lease.
+/// It may have been removed and added again while grants are still valid, so
+/// the whole burst counts as outstanding at first.
 share_bucket newBucket(const share_allocator &Allocator, const share_plan &Plan,
                        instant Now) {
   share_bucket Bucket = emptyBucket(Plan, Now);
--- a/packages/control/src/share_bucket.cpp
+++ b/packages/control/src/share_bucket.cpp
@@ -11,7 +11,7 @@
 using base::microseconds;
 
 constexpr double MicrosecondsPerSecond = 1e6;
-/// Part of the burst that is outstanding at the full rate.
+/// Fraction of the burst that is outstanding at the full rate.
 constexpr double OutstandingFraction = 0.25;
 
 double seconds(microseconds Time) {
@@ -28,7 +28,7 @@
   return std::max(0.0, Bucket.Plan.Burst - Bucket.Tokens - Out);
 }
 
-/// Fills from FilledAt to \p Until, during which no grant lapses.
+/// Fills the bucket from FilledAt to \p Until, between which no grant expires.
 void fillUntil(share_bucket &Bucket, instant Until,
                const share_limits &Limits) {
   if (Until <= Bucket.FilledAt)
@@ -79,7 +79,7 @@
   if (Allocated < 1)
     return 0;
   Bucket.Tokens -= Allocated;
-  // A plan with a shorter Ttl may have come since the last grant.
+  // The plan may have changed to a shorter Ttl since the last grant.
   const outstanding_grant Grant{Now + Bucket.Plan.Ttl, Allocated};
   const auto At = std::ranges::upper_bound(Bucket.Outstanding, Grant.Until, {},
                                            &outstanding_grant::Until);
--- a/packages/control/src/share_consumer.cpp
+++ b/packages/control/src/share_consumer.cpp
@@ -11,10 +11,10 @@
 using base::instant;
 using base::microseconds;
 
-/// After "none yet" never ask again sooner.
+/// Minimum time before the next request after the allocator had no token.
 constexpr microseconds MinRequestInterval{2'000};
 constexpr double MicrosecondsPerSecond = 1e6;
-/// Customers with less demand than this are idle.
+/// A customer with less demand than this is idle.
 constexpr double MinDemand = 0.01;
 
 double inSeconds(microseconds Time) {
@@ -31,7 +31,7 @@
   });
 }
 
-/// Spends a token that has not lapsed; the one that lapses first.
+/// Spends a token that has not expired, the one that expires first.
 bool spend(share_consumer &Consumer, share_account &Account, instant Now) {
   dropLapsed(Consumer, Account, Now);
   const auto First =
@@ -64,9 +64,9 @@
          Account.Demand < MinDemand;
 }
 
-/// Tokens to ask for: for those who wait, and for the demand expected until
-/// an answer to a later request can be here. Less than a whole expected
-/// request is not asked for: it would mostly lapse.
+/// Tokens to request: for the waiting requests, and for the demand expected
+/// until a later request can be answered. An expectation of less than one
+/// request is left out: that token would mostly expire.
 double wantedTokens(share_consumer &Consumer, share_account &Account,
                     instant Now) {
   if (Now < Account.NextRequestAt)
@@ -104,7 +104,7 @@
   return Verdicts;
 }
 
-/// The giver answered again. After a silence there is a backlog, which takes
+/// The allocator answered. After an outage there is a backlog, which takes
 /// about as long again to work off.
 void noteAnswer(const share_consumer &Consumer, share_account &Account,
                 instant Now) {
@@ -121,8 +121,8 @@
   });
 }
 
-/// Those who cannot get a token within the patience at the full rate are
-/// refused at once: a flood must not wait in memory.
+/// Whether a request could not get a token within MaxWait even at the full
+/// rate. Such requests are refused at once: a flood must not wait in memory.
 bool exceedsMaxWait(const share_consumer &Consumer,
                     const share_account &Account, std::size_t Index) {
   const double MaxWait = inSeconds(Consumer.Limits.MaxWait);
@@ -233,7 +233,7 @@
 }
 
 std::vector<share_verdict> dueVerdicts(share_consumer &Consumer, instant Now) {
-  // An answer that comes later than the longest Ttl brings dead tokens only.
+  // An answer later than the longest Ttl brings expired tokens only.
   std::erase_if(Consumer.Requests, [&](const share_request &Request) {
     return Now - Request.SentAt > Consumer.Shares.MaxTtl;
   });
--- a/packages/control/src/share_lease.cpp
+++ b/packages/control/src/share_lease.cpp
@@ -13,7 +13,7 @@
 using base::instant;
 using base::microseconds;
 
-/// Commits that are remembered for reading back.
+/// Maximum number of commits with unknown outcome that are remembered.
 constexpr std::size_t MaxUnresolved = 16;
 
 json::value toJson(const saved_level &Level) {
@@ -33,7 +33,7 @@
   return Held ? lease_change::Lost : lease_change::None;
 }
 
-/// The row in the store is the one of \p Commit.
+/// The row in the store is the one that \p Commit wrote.
 lease_change adopt(share_lease &Lease, const lease_commit &Commit,
                    const lease_limits &Limits, instant Now) {
   if (Commit.Row.Released) {
@@ -60,7 +60,7 @@
   Lease.AnnouncedSince.reset();
 }
 
-/// Whether the holder's time is over for sure; see the head of the header.
+/// Whether the holder has certainly stopped; see the top of the header.
 bool mayTakeOver(share_lease &Lease, const membership &Membership,
                  const lease_limits &Limits, instant Now) {
   if (Lease.Version == 0 || Lease.Row.Released || !Limits.TakerWaits)
@@ -68,7 +68,7 @@
   const instant Ended = Lease.ObservedAt + Limits.Length + Limits.Margin;
   if (Now < Ended)
     return false;
-  // Twice DirectLimit: the holder's list may lag behind ours.
+  // Twice DirectLimit: the holder's list of instances may be older than ours.
   const bool MayBeExtended =
       Membership.Members.size() <= 2 * Membership.Limits.DirectLimit;
   const auto Contact = Membership.Store.OwnContactAt;
@@ -198,7 +198,7 @@
     return lease_change::None;
   observe(Lease, Row.Version, parseLeaseRow(Row.Value).value_or(lease_row{}),
           Now);
-  // The read may have overtaken the answer to the commit under way.
+  // The read may have overtaken the answer to the commit in flight.
   std::vector<lease_commit> Ours = Lease.Unresolved;
   if (Lease.Pending)
     Ours.push_back(*Lease.Pending);
--- a/packages/control/src/share_node.cpp
+++ b/packages/control/src/share_node.cpp
@@ -12,7 +12,8 @@
 using base::milliseconds;
 
 constexpr microseconds HintTime{1'000'000};
-/// An instance whose last read of the store is older does not see it.
+/// An instance whose last read of the store is older than this counts as cut
+/// off from the store.
 constexpr milliseconds MaxStoreReadAge{3'000};
 
 bool seesStore(const member &Member, instant Now) {
@@ -21,13 +22,13 @@
              MaxStoreReadAge;
 }
 
-/// An instance that could give, with the hash of its name.
+/// An instance that could be the allocator, with the hash of its name.
 struct candidate {
   const base::instance_name *Name = nullptr;
   std::uint32_t Hash = 0;
 };
 
-/// The live instances that see the store, or all live ones when none does.
+/// The live instances that reach the store, or all live ones when none does.
 std::vector<candidate> candidates(const share_node &Node,
                                   const membership &Membership, instant Now) {
   std::vector<candidate> Live;
@@ -56,8 +57,9 @@
   return (Hash ^ (Hash >> 15U)) * Odd;
 }
 
-/// Who should give a partition, and who if that one fails: the best two by
-/// rendezvous hashing, so that a change of one instance moves only its part.
+/// The preferred allocator of a partition and the second choice: the best two
+/// by rendezvous hashing, so that adding or removing an instance moves only its
+/// partitions.
 struct ranking {
   base::instance_name First;
   base::instance_name Second;
@@ -104,7 +106,7 @@
   }
 }
 
-/// One commit for all rows that are due. One at a time, so that answers are
+/// One commit for all rows that are due, and one at a time, so that answers are
 /// not mixed up.
 std::optional<storage::commit_request>
 collectCommit(share_node &Node, const membership &Membership, instant Now) {
@@ -140,10 +142,10 @@
   return Member != nullptr && Member->State == member_state::Alive;
 }
 
-/// Names the holder while the row is watched: it changes with each renewal, so
-/// an old one may name an instance that is long gone. In a store outage nobody
-/// can watch it, and nobody can take the lease either: then the holder of the
-/// last row that was seen is the one to ask, if it is alive.
+/// Names the holder to ask instead. The row changes with each renewal, so one
+/// that was not read lately may name an instance that is long gone. In a store
+/// outage nobody can read it, and nobody can take the lease over either: then
+/// the holder in the last row read is the one to ask, if it is alive.
 wire::share_message redirect(const share_node &Node,
                              const membership &Membership,
                              const share_lease &Lease,
@@ -183,8 +185,9 @@
                       std::back_inserter(Actions.Verdicts));
     return;
   }
-  // The request stays in the list until it is taken for lost, which paces the
-  // next one; a hint makes that one go out at once to another instance.
+  // Without a hint, the request stays in the list until it counts as lost,
+  // which delays the next one; a hint lets the next one go to the other
+  // instance at once.
   if (Message.Giver.empty() || Message.Giver == Node.Self)
     Node.Hints.erase(Message.Partition);
   else if (dropRequest(Node.Consumer, Message))
@@ -227,7 +230,7 @@
       Node.Allocator, Node.Plans,
       [&](std::uint16_t Partition) { return Node.Leases[Partition].Holding; },
       Now);
-  // Accounts with waiting requests go when these have their verdicts.
+  // Accounts with waiting requests are removed after their verdicts.
   std::erase_if(Node.Consumer.Accounts, [&](const auto &Entry) {
     return IsGone(Entry) && Entry.second.Waiters.empty();
   });
@@ -238,8 +241,9 @@
 
 namespace {
 
-/// Tells the next giver that the lease is free, a few times since datagrams
-/// get lost; it would see it only at its next reading otherwise.
+/// Tells the next allocator that the lease is free; otherwise it would learn
+/// that only from its next read of the row. Sent a few times, since datagrams
+/// get lost.
 void announceReleases(share_node &Node, share_actions &Actions) {
   constexpr unsigned Times = 3;
   for (share_lease &Lease : Node.Leases) {
@@ -309,7 +313,7 @@
     Node.NextLeaseAt = std::min(Node.NextLeaseAt, Now);
     return Actions;
   }
-  // An answer to a former incarnation of this instance.
+  // An answer to an earlier incarnation of this instance.
   if (Message.Incarnation != Node.Incarnation)
     return Actions;
   handleAnswer(Node, Message, Now, Actions);
--- a/packages/control/src/share_service.cpp
+++ b/packages/control/src/share_service.cpp
@@ -29,7 +29,7 @@
 
 constexpr milliseconds TickInterval{5};
 
-/// A request that waits: its coroutine sleeps on the timer, which the verdict
+/// A waiting request: its coroutine waits for the timer, which the verdict
 /// cancels.
 struct waiting_request {
   asio::steady_timer Timer;
@@ -67,7 +67,8 @@
   storage::store &Store;
   share_options Options;
   share_node Node;
-  /// Baseline: the nth part of each customer's budget.
+  /// For share_policy::Static: each customer's bucket with an nth of its rate
+  /// and burst.
   std::map<base::customer_name, share_bucket, std::less<>> StaticBuckets;
   std::map<std::uint64_t, waiting_request> Waiting;
   std::uint64_t StaticRefused = 0;
@@ -140,7 +141,7 @@
                                                  instant Now) {
   const share_plan &Whole = Node.Plans.find(Customer)->second;
   const auto Instances = static_cast<double>(instanceCount(Peers.view()));
-  // Ttl 0: what is given here is spent here at once.
+  // Ttl 0: what is allocated here is spent here at once.
   const share_plan InstancePlan{Whole.Rate / Instances, Whole.Burst / Instances,
                                 microseconds(0)};
   const auto [At, New] = StaticBuckets.try_emplace(std::string(Customer));
@@ -182,7 +183,7 @@
       });
   asio::co_spawn(State->Executor, tickLoop(State), asio::detached);
   base::log(base::log_level::Info, base::log_part::Shares,
-            "Shares of the rates are given and asked for.");
+            "Enforcing rates by shares that the allocators grant on request.");
 }
 
 void share_service::drain() { State->Node.Draining = true; }
@@ -212,7 +213,7 @@
 
 namespace {
 
-/// Waits for the verdict on a request. The holder ends it at its deadline, so
+/// Waits for the verdict on a request. The consumer ends it at its deadline, so
 /// the timer itself never fires first.
 template <typename State>
 base::task<result<void>> awaitToken(State Self, base::customer_name Customer,
@@ -224,7 +225,8 @@
       Ticket,
       waiting_request{asio::steady_timer(Self->Executor), std::nullopt});
   Self->carryOut(requestTokens(Self->Node, Self->Peers.view(), Now));
-  // This instance may be the giver itself: then the verdict is here.
+  // This instance may be the allocator itself: then the verdict is already
+  // here.
   while (!At->second.Verdict && !Self->Stopped) {
     boost::system::error_code Error;
     At->second.Timer.expires_at(asio::steady_timer::time_point::max());
--- a/packages/control/src/token_transfer.cpp
+++ b/packages/control/src/token_transfer.cpp
@@ -8,7 +8,7 @@
 
 using base::instant;
 
-/// Spare tokens as \p Member last told; none of one that is not up.
+/// Spare tokens that \p Member last reported; none if it is not up.
 unsigned spareOf(const member &Member, std::uint32_t Customer) {
   if (Member.State != member_state::Alive)
     return 0;
--- a/tests/control/centralized_buckets_test.cpp
+++ b/tests/control/centralized_buckets_test.cpp
@@ -28,14 +28,15 @@
   return Owners;
 }
 
-/// What the one keeper of the customer's bucket has.
+/// The shares of the only owner of the customer's bucket.
 demand_shares &ownerShares(demand_fleet &Fleet) {
   const auto Owners = ownersOf(Fleet);
   cr_assert(Owners.size() == 1);
   return Fleet.Shares[Owners.front()];
 }
 
-/// Runs a flood and answers whether each five seconds of it kept the rate.
+/// Runs a flood; returns whether each five seconds of it stayed within the
+/// rate.
 bool keepsRate(demand_fleet &Fleet, double Rate, int Windows = 3) {
   for (int Window = 0; Window < Windows; ++Window) {
     const std::size_t Before = Fleet.Spent;
@@ -47,7 +48,7 @@
   return true;
 }
 
-/// The share that is refused of what is asked at \p Rate for ten seconds.
+/// The fraction refused of a demand of \p Rate for ten seconds.
 double refusedFraction(demand_fleet &Fleet, double Rate) {
   const std::size_t Before = Fleet.Spent;
   const auto Refused =
@@ -57,7 +58,7 @@
 
 } // namespace
 
-// Guards against parts of a rate that hold less than one operation.
+// Guards against shares of a rate that hold less than one operation.
 Test(centralized_buckets, serve_small_customers_within_their_rates) {
   for (const double Rate : {4.0, 8.0, 20.0, 100.0}) {
     demand_fleet Divided = relayedFleet(Rate, Rate);
@@ -67,7 +68,8 @@
     const double Before = refusedFraction(Divided, Rate / 1.6);
     const double After = refusedFraction(Centralized, Rate / 1.6);
     cr_assert(After < 0.01 && After <= Before,
-              "rate %g: %g refused, %g where divided", Rate, After, Before);
+              "rate %g: %g refused, %g with divided rates", Rate, After,
+              Before);
   }
 }
 
@@ -77,7 +79,7 @@
   cr_assert(ownersOf(Fleet).size() == 1);
 }
 
-/// Starts all instances again: nobody remembers what was spent.
+/// Restarts all instances: nobody remembers what was spent.
 void restartAll(demand_fleet &Fleet, double Rate) {
   const instant Now = Fleet.Now;
   const auto Random = Fleet.Random;
@@ -144,7 +146,7 @@
   cr_assert(Fleet.Spent - Before >= 500, "%zu", Fleet.Spent - Before);
 }
 
-// Guards against a second bucket while another instance takes over as keeper.
+// Guards against a second bucket while another instance takes over as owner.
 Test(centralized_buckets, keep_a_flood_within_the_rate_when_the_owner_dies) {
   for (const double Rate : {8.0, 100.0, 1000.0}) {
     demand_fleet Fleet = centralizedFleet(Rate, Rate);
@@ -155,7 +157,7 @@
   }
 }
 
-// Guards against a customer that stays refused when its keeper is gone.
+// Guards against a customer that stays refused when its bucket's owner is gone.
 Test(centralized_buckets, serve_on_two_seconds_after_the_owner_died) {
   demand_fleet Fleet = centralizedFleet(40, 40);
   Fleet.load(evenly(20), milliseconds(8000));
@@ -164,7 +166,7 @@
   cr_assert(refusedFraction(Fleet, 20) < 0.01);
 }
 
-// Guards against a keeper, or most of a rate, on each side of a partition.
+// Guards against an owner, or most of a rate, on each side of a partition.
 Test(centralized_buckets, keep_a_flood_within_the_rate_in_a_partition) {
   for (std::size_t Border = 1; Border < Zones; ++Border) {
     demand_fleet Fleet = centralizedFleet(200, 200);
@@ -176,7 +178,7 @@
   }
 }
 
-// Guards against a keeper that goes on beside the next one.
+// Guards against an owner that goes on beside its successor.
 Test(centralized_buckets,
      keep_a_flood_within_the_rate_when_the_owner_is_cut_off) {
   demand_fleet Fleet = centralizedFleet(200, 200);
@@ -190,13 +192,13 @@
   cr_assert(ownersOf(Fleet).size() == 1);
 }
 
-// Guards against two keepers at the same time, however short.
+// Guards against two owners at the same time, however briefly.
 Test(centralized_buckets, never_have_two_owners) {
   constexpr milliseconds Step{50};
   for (std::size_t Start = 0; Start < 20; ++Start) {
     demand_fleet Fleet = centralizedFleet(200, 200);
     Fleet.StoreReached = true;
-    // The cut falls between heartbeats in another way each time.
+    // The cut falls at a different time between heartbeats in each round.
     Fleet.load(evenly(125), milliseconds(3000) + Start * Step);
     const std::size_t Owner = ownersOf(Fleet).front();
     for (const bool Cut : {true, false}) {
@@ -242,7 +244,7 @@
   const auto Answer = grantToken(Shares, "acme", 0, {}, Fleet.Now)
                           .value_or(bucket_owner_answer{true});
   cr_assert(!Answer.Granted);
-  // One token at ten a second, and the slack above the rate.
+  // One token at ten per second, and the slack above the rate.
   cr_assert(Answer.Wait > milliseconds(90) && Answer.Wait < milliseconds(101));
 }
 
--- a/tests/control/demand_fleet.hpp
+++ b/tests/control/demand_fleet.hpp
@@ -16,10 +16,11 @@
 using base::instant;
 using base::milliseconds;
 
-/// Instances that exchange heartbeats in passed time.
+/// Instances that exchange heartbeats in simulated time.
 struct demand_fleet {
-  /// \p DirectLimit: up to so many all hear each other directly; more are in
-  /// \p Zones availability zones in turn.
+  /// \p DirectLimit: up to this many instances all exchange heartbeats
+  /// directly; more use relays, spread over \p Zones availability zones in
+  /// turn.
   explicit demand_fleet(std::size_t Count, double Rate = 100,
                         double Burst = 100, std::size_t DirectLimit = SIZE_MAX,
                         std::size_t Zones = 1) {
@@ -91,7 +92,7 @@
       deliver(Send, Index);
   }
 
-  /// Asks for an operation at \p Index, which runs at once.
+  /// Requests an operation at \p Index, which runs at once.
   bool ask(std::size_t Index, unsigned Priority = 0) {
     const bool Admitted = hold(Index, Priority);
     if (Admitted)
@@ -100,7 +101,7 @@
     return Admitted;
   }
 
-  /// The same, but it stays open whether the operation runs.
+  /// The same, but it remains open whether the operation runs.
   bool hold(std::size_t Index, unsigned Priority = 0) {
     const bool Here =
         takeDemandToken(Shares[Index], "acme", Priority, milliseconds(50), Now)
@@ -119,7 +120,7 @@
     return Answer && verdictFromOwner(Shares[Index], "acme", *Answer).Admitted;
   }
 
-  /// Poisson arrivals at \p Rates, by instance, for \p Time. Answers the
+  /// Poisson arrivals at \p Rates, one per instance, for \p Time. Returns the
   /// number refused.
   std::size_t load(const std::vector<double> &Rates, milliseconds Time) {
     std::size_t Refused = 0;
@@ -138,18 +139,18 @@
   std::vector<membership> Members;
   std::vector<demand_shares> Shares;
   std::vector<bool> Cut;
-  /// All reach the store, also where they do not hear each other.
+  /// All reach the store, even where they are not in contact.
   bool StoreReached = false;
   std::size_t Dead = SIZE_MAX;
   std::vector<std::size_t> AlsoDead;
-  /// Rates are gathered at keepers where the fleet has relays.
+  /// Buckets are centralized where the fleet has relays.
   bool Centralizes = false;
   std::size_t Ticks = 0;
   std::size_t Spent = 0;
   std::mt19937_64 Random{7};
 };
 
-/// What a customer may use in \p Seconds, with what operators tolerate.
+/// What a customer may use in \p Seconds, including what operators tolerate.
 inline double allowed(double Rate, double Burst, double Seconds) {
   return (Rate * Seconds + Burst) * 1.1 + 20;
 }
--- a/tests/control/demand_relays_test.cpp
+++ b/tests/control/demand_relays_test.cpp
@@ -26,7 +26,7 @@
   return Sum;
 }
 
-/// A demand of 880 a second, most of it at two instances.
+/// A demand of 880 per second, most of it at two instances.
 std::vector<double> unevenly() {
   std::vector<double> Rates(Count, 10);
   Rates[7] = 400;
@@ -34,8 +34,8 @@
   return Rates;
 }
 
-/// Floods all instances for five seconds and answers whether that kept the
-/// rate.
+/// Floods all instances for five seconds; returns whether that stayed within
+/// the rate.
 bool keepsRate(demand_fleet &Fleet, double Rate, double Burst) {
   const std::size_t Before = Fleet.Spent;
   Fleet.load(evenly(4 * Rate), milliseconds(5000));
@@ -70,7 +70,7 @@
   }
 }
 
-// Guards against a flood that is served until all relays tell of it.
+// Guards against a flood that is served until all relays report it.
 Test(demand_relays, keep_a_sudden_flood_of_eight_times_within_the_rate) {
   for (const double Rate : {20.0, 100.0}) {
     demand_fleet Fleet = relayedFleet(Rate, Rate);
@@ -127,7 +127,8 @@
   }
 }
 
-// Guards against a zone split from its own relays that serves the rate again.
+// Guards against a zone that is split from its own relays and serves the rate
+// again.
 Test(demand_relays, keep_a_flood_within_the_rate_in_a_split_zone) {
   demand_fleet Fleet = relayedFleet(200, 200);
   Fleet.StoreReached = true;
--- a/tests/control/demand_shares_test.cpp
+++ b/tests/control/demand_shares_test.cpp
@@ -10,8 +10,8 @@
 using namespace redwinggw::control;
 using namespace redwinggw::control::testing;
 
-// A customer's callers stand at two of six instances, in uneven numbers. It
-// asks for less than its rate, so nothing may be refused.
+// A customer's callers are at two of six instances, in uneven numbers. They use
+// less than the rate, so hardly anything may be refused.
 Test(demand_shares, follow_uneven_demand) {
   demand_fleet Fleet(6);
   Fleet.load({0, 0, 0, 0, 0, 0}, milliseconds(3000));
@@ -37,8 +37,8 @@
   }
 }
 
-// The customer floods while one instance is cut off from all others: both
-// sides go on, and together they stay within the rate.
+// The customer floods while one instance is cut off from all others: both sides
+// go on, and together they stay within the rate.
 Test(demand_shares, keep_a_flood_within_the_rate_in_a_partition) {
   demand_fleet Fleet(6);
   const std::vector<double> Flood{300, 100, 100, 100, 100, 100};
@@ -52,8 +52,8 @@
   }
 }
 
-// The same with the store in reach of both sides, which then both go on: parts
-// of every size, and the worst window counts.
+// The same with the store reachable from both sides, which then both go on:
+// parts of several sizes, and every window counts.
 Test(demand_shares, keep_a_flood_within_the_rate_with_the_store_on_both_sides) {
   for (std::size_t Count = 1; Count <= 3; ++Count) {
     demand_fleet Fleet(6);
@@ -70,9 +70,9 @@
   }
 }
 
-// The instances are in two halves, both in reach of the store, when a
-// customer's flood begins on both sides. Neither hears of the other's share of
-// it: each took nearly the whole rate for itself, as its own demand was most of
+// The instances are in two parts, both of which reach the store, when a
+// customer's flood begins on both sides. Neither sees the other's part of it:
+// each took nearly the whole rate for itself, as its own demand was most of
 // what it knew of.
 Test(demand_shares, keep_a_flood_that_begins_in_a_partition_within_the_rate) {
   for (std::size_t Count = 1; Count <= 4; ++Count) {
@@ -91,8 +91,8 @@
   }
 }
 
-// Two halves, one without the store: the other must not be held to half of its
-// rate, or it refuses callers that are within theirs.
+// Two halves, one without the store: the other must not be limited to half of
+// its rate, or it refuses callers that are within theirs.
 Test(demand_shares, leave_its_share_to_a_half_that_reaches_the_store) {
   demand_fleet Fleet(6);
   Fleet.StoreReached = true;
@@ -105,9 +105,9 @@
 }
 
 // A customer floods the fleet while its instances leave two at a time, as in a
-// roll-out: they serve on until the balancer sends nobody any more. The others
-// took over the parts of the two as soon as these announced that they leave, so
-// both spent them.
+// rollout: they serve on until the balancer sends nobody any more. The others
+// took over the shares of the two as soon as these announced that they leave,
+// so both spent them.
 Test(demand_shares, keep_a_flood_within_the_rate_while_instances_leave) {
   demand_fleet Fleet(9, 200, 200);
   std::vector<double> Flood(9, 300);
@@ -124,10 +124,10 @@
   cr_assert(Used <= allowed(200, 200, 5), "%g used", Used);
 }
 
-// A small customer's callers stand at forty instances, a few operations a
-// second in all, less than its rate. Each instance's part of the burst was
-// smaller than one operation, so every one was refused. A flood from all of
-// them at once still stays within what operators tolerate.
+// A small customer's callers are at forty instances, with a few operations per
+// second in all, less than its rate. Each instance's share of the burst was
+// less than one operation, so every one was refused. A flood from all of them
+// at once still stays within what operators tolerate.
 Test(demand_shares, serve_a_small_customer_at_many_instances) {
   demand_fleet Fleet(40, 20, 20);
   const std::vector<double> Calm(40, 0.35);
@@ -141,8 +141,8 @@
   cr_assert(static_cast<double>(Fleet.Spent - Before) <= allowed(20, 20, 5));
 }
 
-// Instances stop one after the other and send their callers to the rest, which
-// asks for less than the rate in all: the parts go with the callers, so hardly
+// Instances stop one after the other and send their callers to the others, with
+// less demand than the rate in all: the shares follow the callers, so hardly
 // anything is refused.
 Test(demand_shares, go_with_the_callers_of_a_leaving_instance) {
   demand_fleet Fleet(6);
@@ -157,9 +157,9 @@
 }
 
 // A customer floods the fleet. One instance starts behind a partition: it
-// reaches the store, whose list names the others, and hears none of them. It
-// took their silence for a lack of demand and served the whole rate, which the
-// others serve too.
+// reaches the store, whose list names the others, but receives no heartbeat
+// from them. It took their silence for a lack of demand and served the whole
+// rate, which the others serve too.
 Test(demand_shares, leave_the_rate_to_others_that_were_never_heard) {
   demand_fleet Fleet(6);
   Fleet.StoreReached = true;
@@ -174,8 +174,8 @@
   cr_assert(Used <= allowed(100, 100, 5), "%g used", Used);
 }
 
-// An instance dies and its callers go to the others, which refuse little:
-// there is room between the demand and the rate.
+// An instance dies and its callers go to the others, which refuse little: the
+// demand is well below the rate.
 Test(demand_shares, tolerate_the_loss_of_an_instance) {
   demand_fleet Fleet(6);
   Fleet.load({10, 10, 10, 10, 10, 10}, milliseconds(8000));
@@ -186,14 +186,14 @@
   cr_assert(Refused * 20 < Fleet.Spent - Before + Refused);
 }
 
-// All instances are killed and start again in the midst of a flood: nobody
-// knows what was spent, so nothing may be given at once.
+// All instances are killed and restart during a flood: nobody knows what was
+// spent, so nothing may be granted at once.
 Test(demand_shares, start_from_empty_buckets) {
   demand_fleet Fleet(6);
   cr_assert(!Fleet.ask(0));
 }
 
-// A rate is lowered: the tokens saved up under the old one are gone.
+// A rate is lowered: the tokens saved under the old one are gone.
 Test(demand_shares, lower_a_rate_at_once) {
   demand_fleet Fleet(1);
   Fleet.load({0}, milliseconds(5000));
@@ -222,10 +222,10 @@
   cr_assert(Other >= 80);
 }
 
-// Endpoints turn a flood away after some time each, and what they turned away
-// is given back. While that goes on the rate adds up; when the endpoints are
-// free again, all of it would run at once. Of what does run, no five seconds
-// may hold more than the rate allows, and callers get all of it.
+// Endpoints reject a flood after some time each, and the tokens of rejected
+// operations are returned. Meanwhile the rate accumulates; when the endpoints
+// are free again, all of it would run at once. Of what does run, no five
+// seconds may exceed what the rate allows, and callers get all of it.
 Test(demand_shares, keep_the_rate_when_tokens_are_given_back) {
   demand_fleet Fleet(6);
   Fleet.load({10, 10, 10, 10, 10, 10}, milliseconds(5000));
@@ -263,7 +263,8 @@
   }
 }
 
-// Guards against refusing all callers where few are heard directly.
+// Guards against refusing all callers where few instances are in direct
+// contact.
 Test(demand_shares, serve_a_fleet_with_relays) {
   constexpr std::size_t Count = 60;
   demand_fleet Fleet(Count, 2000, 2000, 16);
--- a/tests/control/share_bound_consumer_test.cpp
+++ b/tests/control/share_bound_consumer_test.cpp
@@ -9,17 +9,18 @@
 namespace {
 
 constexpr std::array Scenarios = std::to_array<scenario_case>({
-    {"holder pauses with tokens", consumerPausesWithTokens},
-    {"datagrams are late, crossed, doubled",
+    {"consumer pauses with tokens", consumerPausesWithTokens},
+    {"datagrams are delayed, reordered, duplicated",
      datagramsAreDelayedReorderedAndDuplicated},
     {"load jumps while tokens are held", loadJumpsWhileTokensAreHeld},
 });
 
 } // namespace
 
-// A customer floods all instances with five times its rate while a holder
-// sleeps, or its load jumps, or datagrams are lost, late, crossed and doubled.
-// In no window may the fleet as a whole serve more than burst + rate * length.
+// A customer floods all instances with five times its rate while a consumer
+// pauses, or its load jumps, or datagrams are lost, delayed, reordered and
+// duplicated. In no window may the whole fleet serve more than burst + rate *
+// length.
 Test(share_bound_consumer, no_window_is_above_while_consumers_fail) {
   cr_assert(worstOf(Scenarios) <= Rounding);
 }
--- a/tests/control/share_bound_cuts_test.cpp
+++ b/tests/control/share_bound_cuts_test.cpp
@@ -9,16 +9,16 @@
 namespace {
 
 constexpr std::array Scenarios = std::to_array<scenario_case>({
-    {"giver is cut from all", allocatorIsCutFromAll},
-    {"giver is cut from the store", allocatorIsCutFromTheStore},
+    {"allocator is cut from all", allocatorIsCutFromAll},
+    {"allocator is cut from the store", allocatorIsCutFromTheStore},
     {"store comes back for others only", storeComesBackForOthersOnly},
 });
 
 } // namespace
 
-// A customer floods all instances with five times its rate while the giver is
-// cut off from the others or the store, or the store goes down. In no window
-// may the fleet as a whole serve more than burst + rate * length.
+// A customer floods all instances with five times its rate while the allocator
+// is cut off from the others or the store, or the store goes down. In no window
+// may the whole fleet serve more than burst + rate * length.
 Test(share_bound_cuts, no_window_is_above_while_the_allocator_is_cut) {
   cr_assert(worstOf(Scenarios) <= Rounding);
 }
--- a/tests/control/share_bucket_test.cpp
+++ b/tests/control/share_bucket_test.cpp
@@ -28,7 +28,8 @@
   share_bucket Bucket = fullBucket(100, 100);
   cr_assert(Bucket.Plan.Ttl == milliseconds(250));
   cr_assert(allocateTokens(Bucket, 500, Start, Limits) == 100);
-  // All is outstanding for a Ttl; after that the bucket fills at the rate.
+  // All tokens are outstanding for a Ttl; after that the bucket fills at the
+  // rate.
   cr_assert(allocateTokens(Bucket, 500, Start + milliseconds(250), Limits) ==
             0);
   cr_assert(allocateTokens(Bucket, 500, Start + milliseconds(1250), Limits) ==
@@ -47,8 +48,8 @@
   cr_assert(planOf(100, 20, Limits).Ttl == milliseconds(50));
 }
 
-// A customer floods one instance with thousands of requests. They must not
-// wait in memory for tokens that cannot come in time.
+// A customer floods one instance with thousands of requests. They must not wait
+// in memory for tokens that cannot come in time.
 Test(share_consumer, a_flood_is_refused_early_with_the_time_to_come_back) {
   share_consumer Consumer;
   Consumer.Accounts["c"].Plan = planOf(100, 10, Limits);
--- a/tests/control/share_fault_scenarios.hpp
+++ b/tests/control/share_fault_scenarios.hpp
@@ -5,17 +5,17 @@
 #include <iostream>
 #include <span>
 
-/// Scenarios of faults around givers and holders of shares, under a flood of
-/// five times the rate, and the worst excess over the bound in each.
+/// Scenarios with faults of allocators and consumers under a flood of five
+/// times the rate, and the worst excess over the bound in each.
 namespace redwinggw::control::testing {
 
 constexpr double Rate = 200;
 constexpr double Burst = 20;
 constexpr std::size_t Count = 5;
 constexpr milliseconds Start{4000};
-/// So that a holder holds a good part of the burst.
+/// Long enough that a consumer holds much of the burst.
 constexpr milliseconds LongTtl{200};
-/// For rounding of times to the steps of the test.
+/// For times rounded to the steps of the test.
 constexpr double Rounding = 0.01;
 
 inline double excessOf(const share_fleet &Fleet) {
@@ -26,14 +26,15 @@
   runLoad(Fleet, Time, 5 * Rate, anyNode(Fleet));
 }
 
-/// Some load, so that the lease is held and the bucket is nearly full.
+/// A fleet after some load, so that the lease is held and the bucket nearly
+/// full.
 inline share_fleet startedFleet(unsigned Seed, share_settings Settings = {}) {
   share_fleet Fleet = makeShareFleet(Count, Seed, Rate, Burst, Settings);
   runLoad(Fleet, Start, Rate / 2, anyNode(Fleet));
   return Fleet;
 }
 
-/// Cuts \p Index from all others, both ways.
+/// Cuts \p Index off from all others, in both directions.
 inline void isolate(share_fleet &Fleet, std::size_t Index) {
   for (std::size_t Other = 0; Other < Fleet.Nodes.size(); ++Other) {
     Fleet.Cuts.insert({Index, Other});
@@ -41,7 +42,7 @@
   }
 }
 
-/// A story with a fault, its worst excess under \p Settings.
+/// Runs a scenario under \p Settings and returns its worst excess.
 using scenario = double (*)(unsigned Seed, share_settings Settings);
 
 inline double allocatorIsKilled(unsigned Seed, share_settings Settings) {
@@ -90,7 +91,7 @@
   return excessOf(Fleet);
 }
 
-/// The giver sleeps between a renewal and its answer.
+/// The allocator pauses between sending a renewal and receiving the answer.
 inline double allocatorPausesInARenewal(unsigned Seed,
                                         share_settings Settings) {
   share_fleet Fleet = startedFleet(Seed, Settings);
@@ -106,7 +107,7 @@
   return excessOf(Fleet);
 }
 
-/// The others get nothing from the giver and take it for dead.
+/// The others receive nothing from the allocator and consider it dead.
 inline double allocatorIsNotHeard(unsigned Seed, share_settings Settings) {
   share_fleet Fleet = startedFleet(Seed, Settings);
   const std::size_t Allocator = allocatorIndex(Fleet);
@@ -165,7 +166,7 @@
 
 constexpr unsigned ScenarioSeeds = 3;
 
-/// The worst excess over the bound in any of \p Scenarios, with each seed.
+/// The worst excess over the bound in any of \p Scenarios, each with all seeds.
 inline double worstOf(std::span<const scenario_case> Scenarios) {
   double Worst = -Burst;
   for (const scenario_case &Case : Scenarios) {
--- a/tests/control/share_fleet.hpp
+++ b/tests/control/share_fleet.hpp
@@ -12,8 +12,8 @@
 #include <string>
 #include <vector>
 
-/// Holders, givers, one table and a lossy network in one test, driven by a
-/// seeded generator and passed-in time.
+/// Consumers, allocators, one table and a lossy network in one test, driven by
+/// a seeded generator and simulated time.
 namespace redwinggw::control::testing {
 
 using base::instant;
@@ -23,25 +23,27 @@
 struct network_faults {
   double Drop = 0;
   double Double = 0;
-  /// Each datagram takes 1 ms and up to so much more, so that they cross.
+  /// Each datagram takes 1 ms and up to this much more, so that they overtake
+  /// each other.
   microseconds Jitter{1000};
-  /// Answers of the store that are lost after the effect.
+  /// Fraction of the store's answers that are lost after the commit took
+  /// effect.
   double LoseAnswer = 0;
 };
 
 struct fleet_node {
   membership Membership;
   share_node Shares;
-  /// Clocks of two instances never agree.
+  /// The clocks of two instances never agree.
   microseconds Offset{0};
   bool Up = true;
   bool Paused = false;
   bool SeesStore = true;
-  /// What arrived during a pause.
+  /// What arrived during a pause and is processed after it.
   std::vector<std::function<void()>> Waiting;
 };
 
-/// A spent token, on the test's own clock.
+/// A token that was spent, by the test's own clock.
 struct spending {
   base::customer_name Customer;
   instant At;
@@ -122,7 +124,8 @@
 inline void receive(share_fleet &Fleet, std::size_t To,
                     const wire::datagram &Datagram) {
   fleet_node &Node = Fleet.Nodes[To];
-  // The share messages have guards of their own, which are to be seen here.
+  // Share messages bypass the membership's checks: their own guards are under
+  // test.
   const auto *Share = std::get_if<wire::share_message>(&Datagram.Body);
   if (Share != nullptr) {
     carryOut(Fleet, To,
@@ -195,7 +198,7 @@
   Fleet.History.push_back({Customer, Fleet.Now});
 }
 
-/// All requests of these tests are of one customer.
+/// All requests of these tests are of this customer.
 inline const base::customer_name Sweets = "sweets";
 
 inline void carryOut(share_fleet &Fleet, std::size_t Index,
@@ -219,9 +222,9 @@
     startRead(Fleet, Index);
 }
 
-/// A request of the customer comes to node \p Index.
+/// A request of the customer arrives at node \p Index.
 inline void request(share_fleet &Fleet, std::size_t Index) {
-  // The callers' default.
+  // The default timeout of callers.
   constexpr milliseconds Timeout{5000};
   fleet_node &Node = Fleet.Nodes[Index];
   if (!Node.Up || Node.Paused)
@@ -264,7 +267,7 @@
 inline void wake(share_fleet &Fleet, std::size_t Index) {
   fleet_node &Node = Fleet.Nodes[Index];
   Node.Paused = false;
-  // A process that wakes may serve its callers before it reads its sockets.
+  // A process that resumes may serve its callers before it reads its sockets.
   for (int Count = 0; Count < 50; ++Count)
     request(Fleet, Index);
   for (const auto &What : std::exchange(Node.Waiting, {}))
@@ -292,7 +295,7 @@
   return Fleet;
 }
 
-/// The node that holds the lease and may give; the count if none.
+/// The node that holds the lease and may allocate; the number of nodes if none.
 inline std::size_t allocatorIndex(const share_fleet &Fleet) {
   const auto Found =
       std::ranges::find_if(Fleet.Nodes, [](const fleet_node &Node) {
@@ -301,7 +304,7 @@
   return static_cast<std::size_t>(Found - Fleet.Nodes.begin());
 }
 
-/// A single process's bucket: what the customer is entitled to.
+/// The bucket of a single process: what the customer is entitled to.
 struct ideal_bucket {
   double Rate = 0;
   double Burst = 0;
@@ -318,9 +321,9 @@
   return Has;
 }
 
-/// Runs with \p PerSecond requests a second, each at a node that \p Pick
-/// chooses. With \p Entitled only requests that it allows are made; answers
-/// their count.
+/// Runs \p PerSecond requests per second, each at a node that \p Pick chooses.
+/// With \p Entitled, only requests that it allows are made. Returns their
+/// count.
 inline std::uint64_t runLoad(share_fleet &Fleet, milliseconds Time,
                              double PerSecond,
                              const std::function<std::size_t()> &Pick,
@@ -347,7 +350,7 @@
   return [&Fleet] { return Fleet.Random() % Fleet.Nodes.size(); };
 }
 
-/// The giver begins to drain and says that it leaves.
+/// The allocator starts to drain and announces that it leaves.
 inline void allocatorIsDrained(share_fleet &Fleet) {
   fleet_node &Allocator = Fleet.Nodes[allocatorIndex(Fleet)];
   Allocator.Shares.Draining = true;
@@ -356,8 +359,8 @@
     transmit(Fleet, Send.Datagram);
 }
 
-/// By how many tokens the worst window is above Burst + Rate * length; scans
-/// every window that begins and ends with a spending.
+/// By how many tokens the worst window exceeds Burst + Rate * length; scans
+/// every window that begins and ends with a spent token.
 inline double worstExcess(const std::vector<spending> &History, double Rate,
                           double Burst) {
   double Lowest = 0;
--- a/tests/control/share_floor_test.cpp
+++ b/tests/control/share_floor_test.cpp
@@ -16,7 +16,7 @@
 constexpr std::size_t Count = 5;
 constexpr milliseconds Start{4000};
 
-/// Requests inside the rate that were refused, of all such.
+/// Requests within the rate, and how many of them were refused.
 struct refusals {
   std::uint64_t Made = 0;
   std::uint64_t Refused = 0;
@@ -28,7 +28,7 @@
   share_fleet Fleet = makeShareFleet(Count, 7, Rate, RoomyBurst);
   runLoad(Fleet, Start, Rate / 2, anyNode(Fleet));
   Fleet.Refused = 0;
-  // The node whose callers are watched is not the one that may be killed.
+  // The node whose callers are observed is not the one that may be killed.
   const std::size_t Watched = (allocatorIndex(Fleet) + 1) % Count;
   const auto Pick = [&Fleet, OneNode, Watched] {
     return OneNode ? Watched : Fleet.Random() % Count;
@@ -53,9 +53,9 @@
 
 } // namespace
 
-// Customers that stay inside their rate and burst must not be refused, with
-// all their load at one instance or spread, while shares are moved, the giver
-// drains, datagrams get lost, or the store is down for all for 20 s.
+// Customers that stay within their rate and burst must not be refused, with all
+// their load at one instance or spread, while shares change, the allocator
+// drains, datagrams are lost, or the store is down for all for 20 s.
 Test(share_floor, requests_inside_the_rate_are_not_refused) {
   struct load_case {
     const char *Name;
@@ -71,7 +71,7 @@
       {"twice the rate thinned to it, one node", 2, true, nothing},
       {"twice the rate thinned to it, spread", 2, false, nothing},
       {"90%, store down for all", 0.9, false, storeGoesDown},
-      {"90%, giver drains", 0.9, false, allocatorIsDrained},
+      {"90%, allocator drains", 0.9, false, allocatorIsDrained},
       {"90%, 1% of datagrams lost", 0.9, false, datagramsAreLost},
   };
   constexpr double Allowed = 0.001;
@@ -86,18 +86,20 @@
   cr_assert(Within);
 }
 
-// The giver dies. Until its lease and its grants are over nobody can give
-// without risking the double. What is lost is printed; the rest must go on.
+// The allocator dies. Until its lease and its grants have expired nobody can
+// allocate without risking twice the rate. The refusals are printed; after that
+// requests must be admitted again.
 Test(share_floor, requests_are_admitted_again_after_the_allocator_died) {
   const refusals Seen = refusedInside(0.5, true, allocatorDies);
-  std::cerr << "giver dies: " << Seen.Refused << " of " << Seen.Made
+  std::cerr << "allocator dies: " << Seen.Refused << " of " << Seen.Made
             << " refused\n";
   cr_assert(Seen.Refused < Seen.Made / 2);
 }
 
-// The store is down for a minute. What the instances tell each other of its
-// last answer must not grow younger on its rounds among them: givers would
-// take the outage for over, stop, and refuse requests inside the rate.
+// The store is down for a minute. The age of its last answer, which the
+// instances report to each other, must not decrease as it passes among them:
+// allocators would consider the outage over, stop, and refuse requests within
+// the rate.
 Test(share_floor, age_of_the_stores_last_answer_does_not_decrease) {
   share_fleet Fleet = makeShareFleet(Count, 3, Rate, RoomyBurst);
   runLoad(Fleet, Start, 1, anyNode(Fleet));
@@ -112,11 +114,11 @@
   }
 }
 
-// The platform goes down seconds after an instance came back. The lease is
-// about to move to that instance: its holder stops giving, the release never
-// reaches the store, and nobody gives until the store is back. Or the holder
-// keeps it, but the instance to which it would have moved, and all who ask
-// that one, no longer learn who holds it.
+// The store fails seconds after an instance came back, when the lease is about
+// to be handed over to that instance. Either its holder stops allocating, the
+// release never reaches the store, and nobody allocates until the store is
+// back. Or the holder keeps the lease, but the instance that was to get it, and
+// all that ask that one, no longer learn who holds it.
 Test(share_floor,
      a_lease_about_to_be_handed_over_is_used_while_the_store_is_down) {
   share_fleet Fleet = makeShareFleet(Count, 7, Rate, RoomyBurst);
@@ -132,6 +134,6 @@
   Fleet.StoreUp = false;
   Fleet.Refused = 0;
   runLoad(Fleet, milliseconds(20000), Rate / 2, anyNode(Fleet));
-  std::cerr << "about to move: " << Fleet.Refused << " refused\n";
+  std::cerr << "about to be handed over: " << Fleet.Refused << " refused\n";
   cr_assert(Fleet.Refused == 0);
 }
--- a/tests/control/share_guards_test.cpp
+++ b/tests/control/share_guards_test.cpp
@@ -6,8 +6,8 @@
 using namespace redwinggw::control;
 using namespace redwinggw::control::testing;
 
-// Each guard switched off lets one of these stories exceed the bound, so the
-// checker sees what each of them is for.
+// With a guard switched off, one of the scenarios exceeds the bound: this shows
+// that the check detects what each guard prevents.
 Test(share_guards, without_each_guard_a_window_is_above) {
   struct guard {
     const char *Name;
@@ -18,7 +18,7 @@
       {"count outstanding",
        [](share_settings &Off) { Off.Shares.CountOutstanding = false; },
        loadJumpsWhileTokensAreHeld},
-      {"heed expiry",
+      {"check expiry",
        [](share_settings &Off) { Off.Shares.CheckExpiry = false; },
        consumerPausesWithTokens},
       {"match numbers",
@@ -26,13 +26,13 @@
        datagramsAreDelayedReorderedAndDuplicated},
       {"taker waits", [](share_settings &Off) { Off.Lease.TakerWaits = false; },
        allocatorIsNotHeard},
-      {"holder heeds end",
+      {"holder checks end",
        [](share_settings &Off) { Off.Lease.HolderChecksEnd = false; },
        allocatorIsCutFromAll},
       {"extension needs majority",
        [](share_settings &Off) { Off.Lease.ExtensionNeedsMajority = false; },
        allocatorIsCutFromAll},
-      {"extension heeds contact",
+      {"extension checks contact",
        [](share_settings &Off) { Off.Lease.ExtensionChecksContact = false; },
        allocatorIsCutFromTheStore},
       {"count from sending",
--- a/tests/control/token_transfer_test.cpp
+++ b/tests/control/token_transfer_test.cpp
@@ -10,12 +10,12 @@
 
 namespace {
 
-/// A fleet whose instances lend each other tokens; every so many loans are lost
-/// on their way.
+/// A fleet whose instances transfer tokens to each other; every LostEvery-th
+/// transfer is lost in transit.
 struct transferring_fleet : demand_fleet {
   using demand_fleet::demand_fleet;
 
-  /// One loan, if somebody is thought to have any.
+  /// One transfer, if some instance has reported spare tokens.
   bool transfer(std::size_t Index) {
     const double Missing = 1 - Shares[Index].Accounts.at("acme").Tokens;
     const auto Request = requestTransfer(Transfers[Index], Shares[Index],
@@ -43,14 +43,14 @@
     return Admitted;
   }
 
-  /// Callers of all instances in turn gather at one of them, \p PerTick of
-  /// them at a time. Answers how many were refused.
+  /// Callers of all instances in turn move to one of them, \p PerTick of them
+  /// at a time. Returns how many were refused.
   std::size_t loadInTurn(int PerTick, milliseconds Time, bool WithTransfers) {
     std::size_t Refused = 0;
     std::size_t Tick = 0;
     for (const instant End = Now + Time; Now < End; ++Tick) {
       tick();
-      // Each second another instance.
+      // Another instance each second.
       const std::size_t Where = Tick / 20 % Members.size();
       for (int Left = PerTick; Left > 0; --Left) {
         const bool Admitted =
@@ -69,16 +69,16 @@
 
 } // namespace
 
-// A customer's callers go from instance to instance, as they do while instances
-// stop in turn. They ask for four fifths of the rate; the parts follow seconds
-// later, and each time most callers were refused though the customer was far
-// below its rate.
+// A customer's callers move from instance to instance, as they do while
+// instances stop in turn. They use four fifths of the rate; the shares follow
+// seconds later, and each time most callers were refused though the customer
+// was far below its rate.
 Test(token_transfer, serves_callers_that_move_within_the_rate) {
   constexpr double Rate = 100;
   constexpr int PerTick = 4; // 80 a second
   transferring_fleet Without(9, Rate, Rate);
   transferring_fleet With(9, Rate, Rate);
-  // New processes start from empty buckets; that is another story.
+  // New processes start with empty buckets, which is not under test here.
   Without.load(std::vector<double>(9, 5), milliseconds(5000));
   With.load(std::vector<double>(9, 5), milliseconds(5000));
   const std::size_t Before =
@@ -86,13 +86,13 @@
   const std::size_t After =
       With.loadInTurn(PerTick, milliseconds(20'000), true);
   constexpr std::size_t Asked = 1600;
-  cr_assert(Before > Asked / 20, "%zu refused without loans", Before);
-  cr_assert(After < Asked / 100, "%zu refused with loans", After);
+  cr_assert(Before > Asked / 20, "%zu refused without transfers", Before);
+  cr_assert(After < Asked / 100, "%zu refused with transfers", After);
 }
 
-// A customer floods all instances, and each borrows what it can: lent tokens
-// are taken out of one bucket before they enter another, so no five seconds
-// hold more than the rate allows, also where answers are lost.
+// A customer floods all instances, and each requests what it can: transferred
+// tokens are taken out of one bucket before they enter another, so no five
+// seconds exceed what the rate allows, also where answers are lost.
 Test(token_transfer, keeps_a_flood_within_the_rate) {
   for (const std::size_t LostEvery : {0, 3}) {
     transferring_fleet Fleet(9, 100, 100);
