--- a/packages/control/include/redwinggw/control/share_consumer.hpp
+++ b/packages/control/include/redwinggw/control/share_consumer.hpp
@@ -88,7 +88,7 @@
   std::uint64_t Refused = 0;
   std::uint64_t RefusedUnanswered = 0;
   /// Tokens that expired unspent.
-  double Lapsed = 0;
+  double Expired = 0;
   std::uint64_t UnexpectedGrants = 0;
 };
 
--- a/packages/control/src/centralized_buckets.cpp
+++ b/packages/control/src/centralized_buckets.cpp
@@ -147,7 +147,8 @@
   // The owners may not have noticed yet that this instance is silent.
   const bool Silent =
       Shares.LastCentralizedAt && Now - *Shares.LastCentralizedAt < DivideDelay;
-  const bool Pauses = Silent || (usesRelays(Membership) && !Shares.StartupDone);
+  const bool AdmitsNothing =
+      Silent || (usesRelays(Membership) && !Shares.StartupDone);
   const std::uint32_t Self = wire::hashOf(Membership.Self.Name);
   for (auto &[Name, Account] : Shares.Accounts) {
     if (Centralizes) {
@@ -157,7 +158,7 @@
     }
     Account.Centralized = false;
     Account.OwnedHere = false;
-    if (Pauses)
+    if (AdmitsNothing)
       Account.Share = 0;
     Account.Tokens = std::min(Account.Tokens, bucketDepth(Shares, Account));
   }
--- a/packages/control/src/demand_shares.cpp
+++ b/packages/control/src/demand_shares.cpp
@@ -46,8 +46,9 @@
 double silentShareOf(demand_account &Account, const std::string &Name,
                      double Demand) {
   const double Whole = std::max(Account.FreshDemand, Demand);
-  const double Had = Whole > 0 ? Demand / Whole * Account.FreshShare : 0;
-  return Account.SilentShares.try_emplace(Name, Had).first->second;
+  const double PreviousShare =
+      Whole > 0 ? Demand / Whole * Account.FreshShare : 0;
+  return Account.SilentShares.try_emplace(Name, PreviousShare).first->second;
 }
 
 /// The own demand as relays pass it on by now.
--- a/packages/control/src/share_consumer.cpp
+++ b/packages/control/src/share_consumer.cpp
@@ -21,19 +21,20 @@
   return static_cast<double>(Time.count()) / MicrosecondsPerSecond;
 }
 
-void dropLapsed(share_consumer &Consumer, share_account &Account, instant Now) {
+void dropExpired(share_consumer &Consumer, share_account &Account,
+                 instant Now) {
   if (!Consumer.Shares.CheckExpiry)
     return;
   std::erase_if(Account.Held, [&](const held_tokens &Held) {
-    const bool Lapsed = Held.Until <= Now;
-    Consumer.Counters.Lapsed += Lapsed ? Held.Count : 0;
-    return Lapsed;
+    const bool Expired = Held.Until <= Now;
+    Consumer.Counters.Expired += Expired ? Held.Count : 0;
+    return Expired;
   });
 }
 
 /// Spends a token that has not expired, the one that expires first.
 bool spend(share_consumer &Consumer, share_account &Account, instant Now) {
-  dropLapsed(Consumer, Account, Now);
+  dropExpired(Consumer, Account, Now);
   const auto First =
       std::ranges::min_element(Account.Held, {}, &held_tokens::Until);
   if (First == Account.Held.end())
@@ -71,7 +72,7 @@
                     instant Now) {
   if (Now < Account.NextRequestAt)
     return 0;
-  dropLapsed(Consumer, Account, Now);
+  dropExpired(Consumer, Account, Now);
   decayDemand(Consumer, Account, Now);
   const microseconds RequestAhead =
       std::min(Consumer.Limits.RequestAhead, Account.Plan.Ttl / 2);
--- a/packages/control/src/share_lease.cpp
+++ b/packages/control/src/share_lease.cpp
@@ -34,8 +34,8 @@
 }
 
 /// The row in the store is the one that \p Commit wrote.
-lease_change adopt(share_lease &Lease, const lease_commit &Commit,
-                   const lease_limits &Limits, instant Now) {
+lease_change applyOwnCommit(share_lease &Lease, const lease_commit &Commit,
+                            const lease_limits &Limits, instant Now) {
   if (Commit.Row.Released) {
     Lease.Releasing.reset();
     return stopHolding(Lease);
@@ -50,8 +50,8 @@
   return Held ? lease_change::None : lease_change::Taken;
 }
 
-void observe(share_lease &Lease, std::uint64_t Version, lease_row Row,
-             instant Now) {
+void setRow(share_lease &Lease, std::uint64_t Version, lease_row Row,
+            instant Now) {
   Lease.Known = true;
   Lease.Version = Version;
   Lease.Row = std::move(Row);
@@ -176,9 +176,9 @@
   const auto Commit = std::exchange(Lease.Pending, std::nullopt);
   if (!Commit)
     return lease_change::None;
-  observe(Lease, Version, Commit->Row, Now);
+  setRow(Lease, Version, Commit->Row, Now);
   Lease.Unresolved.clear();
-  return adopt(Lease, *Commit, Limits, Now);
+  return applyOwnCommit(Lease, *Commit, Limits, Now);
 }
 
 void onCommitFailed(share_lease &Lease, const lease_limits &Limits,
@@ -196,8 +196,8 @@
                    const lease_limits &Limits, instant Now) {
   if (Lease.Known && Row.Version <= Lease.Version)
     return lease_change::None;
-  observe(Lease, Row.Version, parseLeaseRow(Row.Value).value_or(lease_row{}),
-          Now);
+  setRow(Lease, Row.Version, parseLeaseRow(Row.Value).value_or(lease_row{}),
+         Now);
   // The read may have overtaken the answer to the commit in flight.
   std::vector<lease_commit> Ours = Lease.Unresolved;
   if (Lease.Pending)
@@ -205,7 +205,7 @@
   const auto Found = std::ranges::find(
       Ours, Lease.Row.Id, [](const lease_commit &Each) { return Each.Row.Id; });
   if (Found != Ours.end())
-    return adopt(Lease, *Found, Limits, Now);
+    return applyOwnCommit(Lease, *Found, Limits, Now);
   Lease.Releasing.reset();
   return stopHolding(Lease);
 }
--- a/packages/control/src/share_node.cpp
+++ b/packages/control/src/share_node.cpp
@@ -16,7 +16,7 @@
 /// off from the store.
 constexpr milliseconds MaxStoreReadAge{3'000};
 
-bool seesStore(const member &Member, instant Now) {
+bool reachesStore(const member &Member, instant Now) {
   return Member.ArrivedAt && Member.Report.StoreReadAge != wire::NoAge &&
          milliseconds(Member.Report.StoreReadAge) + (Now - *Member.ArrivedAt) <=
              MaxStoreReadAge;
@@ -32,29 +32,30 @@
 std::vector<candidate> candidates(const share_node &Node,
                                   const membership &Membership, instant Now) {
   std::vector<candidate> Live;
-  std::vector<candidate> Seeing;
+  std::vector<candidate> ReachingStore;
   for (const member &Member : Membership.Members) {
     if (Member.State != member_state::Alive &&
         Member.State != member_state::Suspect)
       continue;
     Live.push_back({&Member.Name, wire::hashOf(Member.Name)});
-    if (seesStore(Member, Now))
-      Seeing.push_back(Live.back());
+    if (reachesStore(Member, Now))
+      ReachingStore.push_back(Live.back());
   }
   if (!Node.Draining) {
     Live.push_back({&Node.Self, wire::hashOf(Node.Self)});
     const auto ReadAt = Membership.Store.ReadAt;
     if (ReadAt && Now - *ReadAt <= MaxStoreReadAge)
-      Seeing.push_back(Live.back());
+      ReachingStore.push_back(Live.back());
   }
-  return Seeing.empty() ? Live : Seeing;
+  return ReachingStore.empty() ? Live : ReachingStore;
 }
 
 std::uint32_t rendezvousScore(const candidate &Candidate,
                               std::uint16_t Partition) {
-  constexpr std::uint32_t Odd = 0x9e3779b1U;
-  const std::uint32_t Hash = (Candidate.Hash + Partition * Odd) * Odd;
-  return (Hash ^ (Hash >> 15U)) * Odd;
+  constexpr std::uint32_t OddMultiplier = 0x9e3779b1U;
+  const std::uint32_t Hash =
+      (Candidate.Hash + Partition * OddMultiplier) * OddMultiplier;
+  return (Hash ^ (Hash >> 15U)) * OddMultiplier;
 }
 
 /// The preferred allocator of a partition and the second choice: the best two
@@ -152,8 +153,8 @@
                              const wire::share_message &Request, instant Now) {
   wire::share_message Answer = answerTo(Request, wire::share_kind::Moved);
   const bool Fresh = Now - Lease.ObservedAt <= Node.Settings.Lease.Length;
-  const bool Askable = Fresh || isAlive(Membership, Lease.Row.Holder);
-  if (Lease.Known && Askable && !Lease.Row.Released)
+  const bool CanBeAsked = Fresh || isAlive(Membership, Lease.Row.Holder);
+  if (Lease.Known && CanBeAsked && !Lease.Row.Released)
     Answer.Giver = Lease.Row.Holder;
   return Answer;
 }
--- a/tests/control/demand_shares_test.cpp
+++ b/tests/control/demand_shares_test.cpp
@@ -130,10 +130,10 @@
 // at once still stays within what operators tolerate.
 Test(demand_shares, serve_a_small_customer_at_many_instances) {
   demand_fleet Fleet(40, 20, 20);
-  const std::vector<double> Calm(40, 0.35);
-  Fleet.load(Calm, milliseconds(8000));
+  const std::vector<double> LowDemand(40, 0.35);
+  Fleet.load(LowDemand, milliseconds(8000));
   std::size_t Before = Fleet.Spent;
-  const std::size_t Refused = Fleet.load(Calm, milliseconds(20000));
+  const std::size_t Refused = Fleet.load(LowDemand, milliseconds(20000));
   cr_assert(Refused * 8 < Fleet.Spent - Before + Refused, "%zu of %zu refused",
             Refused, Fleet.Spent - Before + Refused);
   Before = Fleet.Spent;
@@ -160,7 +160,7 @@
 // reaches the store, whose list names the others, but receives no heartbeat
 // from them. It took their silence for a lack of demand and served the whole
 // rate, which the others serve too.
-Test(demand_shares, leave_the_rate_to_others_that_were_never_heard) {
+Test(demand_shares, leave_the_rate_to_others_without_a_heartbeat) {
   demand_fleet Fleet(6);
   Fleet.StoreReached = true;
   Fleet.Dead = 5;
--- a/tests/control/share_bound_consumer_test.cpp
+++ b/tests/control/share_bound_consumer_test.cpp
@@ -21,6 +21,6 @@
 // pauses, or its load jumps, or datagrams are lost, delayed, reordered and
 // duplicated. In no window may the whole fleet serve more than burst + rate *
 // length.
-Test(share_bound_consumer, no_window_is_above_while_consumers_fail) {
+Test(share_bound_consumer, no_window_exceeds_the_bound_while_consumers_fail) {
   cr_assert(worstOf(Scenarios) <= Rounding);
 }
--- a/tests/control/share_bound_cuts_test.cpp
+++ b/tests/control/share_bound_cuts_test.cpp
@@ -19,6 +19,7 @@
 // A customer floods all instances with five times its rate while the allocator
 // is cut off from the others or the store, or the store goes down. In no window
 // may the whole fleet serve more than burst + rate * length.
-Test(share_bound_cuts, no_window_is_above_while_the_allocator_is_cut) {
+Test(share_bound_cuts,
+     no_window_exceeds_the_bound_while_the_allocator_is_cut_off) {
   cr_assert(worstOf(Scenarios) <= Rounding);
 }
--- a/tests/control/share_fault_scenarios.hpp
+++ b/tests/control/share_fault_scenarios.hpp
@@ -58,7 +58,7 @@
   const std::size_t Allocator = allocatorIndex(Fleet);
   Fleet.Nodes[Allocator].Paused = true;
   flood(Fleet, milliseconds(5000));
-  wake(Fleet, Allocator);
+  resumeNode(Fleet, Allocator);
   flood(Fleet, milliseconds(2000));
   return excessOf(Fleet);
 }
@@ -66,7 +66,7 @@
 inline double allocatorIsCutFromAll(unsigned Seed, share_settings Settings) {
   share_fleet Fleet = startedFleet(Seed, Settings);
   const std::size_t Allocator = allocatorIndex(Fleet);
-  Fleet.Nodes[Allocator].SeesStore = false;
+  Fleet.Nodes[Allocator].ReachesStore = false;
   isolate(Fleet, Allocator);
   flood(Fleet, milliseconds(12000));
   return excessOf(Fleet);
@@ -75,7 +75,7 @@
 inline double allocatorIsCutFromTheStore(unsigned Seed,
                                          share_settings Settings) {
   share_fleet Fleet = startedFleet(Seed, Settings);
-  Fleet.Nodes[allocatorIndex(Fleet)].SeesStore = false;
+  Fleet.Nodes[allocatorIndex(Fleet)].ReachesStore = false;
   flood(Fleet, milliseconds(12000));
   return excessOf(Fleet);
 }
@@ -85,7 +85,7 @@
   share_fleet Fleet = startedFleet(Seed, Settings);
   Fleet.StoreUp = false;
   flood(Fleet, milliseconds(6000));
-  Fleet.Nodes[allocatorIndex(Fleet)].SeesStore = false;
+  Fleet.Nodes[allocatorIndex(Fleet)].ReachesStore = false;
   Fleet.StoreUp = true;
   flood(Fleet, milliseconds(8000));
   return excessOf(Fleet);
@@ -101,14 +101,14 @@
   Fleet.Nodes[Allocator].Paused = true;
   flood(Fleet, milliseconds(6000));
   isolate(Fleet, Allocator);
-  Fleet.Nodes[Allocator].SeesStore = false;
-  wake(Fleet, Allocator);
+  Fleet.Nodes[Allocator].ReachesStore = false;
+  resumeNode(Fleet, Allocator);
   flood(Fleet, milliseconds(3000));
   return excessOf(Fleet);
 }
 
 /// The others receive nothing from the allocator and consider it dead.
-inline double allocatorIsNotHeard(unsigned Seed, share_settings Settings) {
+inline double allocatorCannotSend(unsigned Seed, share_settings Settings) {
   share_fleet Fleet = startedFleet(Seed, Settings);
   const std::size_t Allocator = allocatorIndex(Fleet);
   for (std::size_t Other = 0; Other < Count; ++Other)
@@ -127,7 +127,7 @@
   runLoad(Fleet, milliseconds(1000), 1, [Consumer] { return Consumer; });
   const std::size_t Other = (Consumer + 1) % Count;
   runLoad(Fleet, milliseconds(5), 200 * Rate, [Other] { return Other; });
-  wake(Fleet, Consumer);
+  resumeNode(Fleet, Consumer);
   flood(Fleet, milliseconds(500));
   return excessOf(Fleet);
 }
--- a/tests/control/share_fleet.hpp
+++ b/tests/control/share_fleet.hpp
@@ -38,7 +38,7 @@
   microseconds Offset{0};
   bool Up = true;
   bool Paused = false;
-  bool SeesStore = true;
+  bool ReachesStore = true;
   /// What arrived during a pause and is processed after it.
   std::vector<std::function<void()>> Waiting;
 };
@@ -155,7 +155,7 @@
 }
 
 inline bool reaches(const share_fleet &Fleet, std::size_t Index) {
-  return Fleet.StoreUp && Fleet.Nodes[Index].SeesStore;
+  return Fleet.StoreUp && Fleet.Nodes[Index].ReachesStore;
 }
 
 inline void startCommit(share_fleet &Fleet, std::size_t Index,
@@ -199,7 +199,7 @@
 }
 
 /// All requests of these tests are of this customer.
-inline const base::customer_name Sweets = "sweets";
+inline const base::customer_name TestCustomer = "sweets";
 
 inline void carryOut(share_fleet &Fleet, std::size_t Index,
                      share_actions Actions) {
@@ -212,7 +212,7 @@
   }
   for (const share_verdict &Verdict : Actions.Verdicts) {
     if (Verdict.Admitted)
-      noteSpent(Fleet, Sweets);
+      noteSpent(Fleet, TestCustomer);
     else
       ++Fleet.Refused;
   }
@@ -230,11 +230,11 @@
   if (!Node.Up || Node.Paused)
     return;
   const instant Now = clockOf(Fleet, Index);
-  if (takeToken(Node.Shares.Consumer, Sweets, Now)) {
-    noteSpent(Fleet, Sweets);
+  if (takeToken(Node.Shares.Consumer, TestCustomer, Now)) {
+    noteSpent(Fleet, TestCustomer);
     return;
   }
-  waitForToken(Node.Shares.Consumer, Sweets, Now, Now + Timeout);
+  waitForToken(Node.Shares.Consumer, TestCustomer, Now, Now + Timeout);
   carryOut(Fleet, Index, requestTokens(Node.Shares, Node.Membership, Now));
 }
 
@@ -264,7 +264,7 @@
   }
 }
 
-inline void wake(share_fleet &Fleet, std::size_t Index) {
+inline void resumeNode(share_fleet &Fleet, std::size_t Index) {
   fleet_node &Node = Fleet.Nodes[Index];
   Node.Paused = false;
   // A process that resumes may serve its callers before it reads its sockets.
@@ -289,7 +289,7 @@
     Node.Membership = makeMembership({nodeName(Index), "z", 100});
     onList(Node.Membership, Fleet.List, clockOf(Fleet, Index));
     Node.Shares = makeShareNode(nodeName(Index), 100, Settings);
-    const std::vector<customer> Customers{{Sweets, Rate, Burst}};
+    const std::vector<customer> Customers{{TestCustomer, Rate, Burst}};
     applyPlans(Node.Shares, Customers, clockOf(Fleet, Index));
   }
   return Fleet;
--- a/tests/control/share_floor_test.cpp
+++ b/tests/control/share_floor_test.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr double Rate = 200;
-constexpr double RoomyBurst = 100;
+constexpr double LargeBurst = 100;
 constexpr std::size_t Count = 5;
 constexpr milliseconds Start{4000};
 
@@ -25,7 +25,7 @@
 using fault_function = void (*)(share_fleet &);
 
 refusals refusedInside(double Load, bool OneNode, fault_function Fault) {
-  share_fleet Fleet = makeShareFleet(Count, 7, Rate, RoomyBurst);
+  share_fleet Fleet = makeShareFleet(Count, 7, Rate, LargeBurst);
   runLoad(Fleet, Start, Rate / 2, anyNode(Fleet));
   Fleet.Refused = 0;
   // The node whose callers are observed is not the one that may be killed.
@@ -33,7 +33,7 @@
   const auto Pick = [&Fleet, OneNode, Watched] {
     return OneNode ? Watched : Fleet.Random() % Count;
   };
-  ideal_bucket Entitled{Rate, RoomyBurst, 0, Fleet.Now};
+  ideal_bucket Entitled{Rate, LargeBurst, 0, Fleet.Now};
   refusals Refusals;
   Fault(Fleet);
   Refusals.Made =
@@ -101,16 +101,17 @@
 // allocators would consider the outage over, stop, and refuse requests within
 // the rate.
 Test(share_floor, age_of_the_stores_last_answer_does_not_decrease) {
-  share_fleet Fleet = makeShareFleet(Count, 3, Rate, RoomyBurst);
+  share_fleet Fleet = makeShareFleet(Count, 3, Rate, LargeBurst);
   runLoad(Fleet, Start, 1, anyNode(Fleet));
   Fleet.StoreUp = false;
   const instant Down = Fleet.Now;
   runLoad(Fleet, milliseconds(60000), 1, anyNode(Fleet));
-  constexpr milliseconds OnItsWay{100};
+  constexpr milliseconds TransitTime{100};
   for (std::size_t Index = 0; Index < Count; ++Index) {
     const fleet_node &Node = Fleet.Nodes[Index];
     const auto ContactAt = lastContact(Node.Membership.Store);
-    cr_assert(ContactAt.value_or(Fleet.Now) - Node.Offset <= Down + OnItsWay);
+    cr_assert(ContactAt.value_or(Fleet.Now) - Node.Offset <=
+              Down + TransitTime);
   }
 }
 
@@ -121,15 +122,15 @@
 // all that ask that one, no longer learn who holds it.
 Test(share_floor,
      a_lease_about_to_be_handed_over_is_used_while_the_store_is_down) {
-  share_fleet Fleet = makeShareFleet(Count, 7, Rate, RoomyBurst);
+  share_fleet Fleet = makeShareFleet(Count, 7, Rate, LargeBurst);
   runLoad(Fleet, Start, Rate / 2, anyNode(Fleet));
   fleet_node &Preferred = Fleet.Nodes[allocatorIndex(Fleet)];
-  Preferred.SeesStore = false;
+  Preferred.ReachesStore = false;
   runLoad(Fleet, milliseconds(10000), Rate / 2, anyNode(Fleet));
   cr_assert(std::ranges::any_of(Fleet.Nodes, [&](const fleet_node &Node) {
     return &Node != &Preferred && Node.Shares.Leases[0].Holding;
   }));
-  Preferred.SeesStore = true;
+  Preferred.ReachesStore = true;
   runLoad(Fleet, milliseconds(1500), Rate / 2, anyNode(Fleet));
   Fleet.StoreUp = false;
   Fleet.Refused = 0;
--- a/tests/control/share_guards_test.cpp
+++ b/tests/control/share_guards_test.cpp
@@ -8,7 +8,7 @@
 
 // With a guard switched off, one of the scenarios exceeds the bound: this shows
 // that the check detects what each guard prevents.
-Test(share_guards, without_each_guard_a_window_is_above) {
+Test(share_guards, without_each_guard_a_window_exceeds_the_bound) {
   struct guard {
     const char *Name;
     void (*SwitchOff)(share_settings &);
@@ -25,7 +25,7 @@
        [](share_settings &Off) { Off.Shares.MatchNumbers = false; },
        datagramsAreDelayedReorderedAndDuplicated},
       {"taker waits", [](share_settings &Off) { Off.Lease.TakerWaits = false; },
-       allocatorIsNotHeard},
+       allocatorCannotSend},
       {"holder checks end",
        [](share_settings &Off) { Off.Lease.HolderChecksEnd = false; },
        allocatorIsCutFromAll},
