--- a/packages/control/include/redwinggw/control/config_changes.hpp
+++ b/packages/control/include/redwinggw/control/config_changes.hpp
@@ -8,11 +8,11 @@
 /// What differs between two configurations, by name.
 namespace redwinggw::control {
 
-enum class config_part { Customer, Key, Service, Read, Endpoint };
+enum class config_row_kind { Customer, Key, Service, Read, Endpoint };
 enum class change_kind { Added, Removed, Changed };
 
 struct config_change {
-  config_part Part = config_part::Customer;
+  config_row_kind RowKind = config_row_kind::Customer;
   std::string Name;
   change_kind Kind = change_kind::Changed;
 
@@ -26,12 +26,12 @@
                                           const configuration &New);
 
 /// Names as in the sheet and for people: "customer", "added". Thread safe.
-std::string_view partName(config_part Part);
+std::string_view rowKindName(config_row_kind RowKind);
 std::string_view changeName(change_kind Kind);
 
 /// "customer a changed, key k1 removed"; cut with a count after the first
-/// \p Most. Thread safe.
+/// \p Limit. Thread safe.
 std::string describe(const std::vector<config_change> &Changes,
-                     std::size_t Most = 20);
+                     std::size_t Limit = 20);
 
 } // namespace redwinggw::control
--- a/packages/control/include/redwinggw/control/config_submission.hpp
+++ b/packages/control/include/redwinggw/control/config_submission.hpp
@@ -19,7 +19,7 @@
 namespace redwinggw::control {
 
 /// Gives a customer a key.
-struct key_gift {
+struct key_addition {
   customer_key Key;
 };
 
@@ -29,7 +29,8 @@
 
 /// What an operator asks for: a whole sheet, made from its Version, or a
 /// change of what is in force, whatever that is.
-using config_request = std::variant<configuration, key_gift, key_withdrawal>;
+using config_request =
+    std::variant<configuration, key_addition, key_withdrawal>;
 
 /// What was read from the store.
 struct config_state {
@@ -47,14 +48,14 @@
 struct config_accepted {
   base::config_version Version = 0;
   /// An identical sheet had been accepted before.
-  bool Already = false;
+  bool AlreadyAccepted = false;
 };
 
 /// Nothing was changed.
 struct config_refused {
   base::failure Failure;
   /// What was accepted since the version that the sheet was made from.
-  std::vector<config_change> Since;
+  std::vector<config_change> ChangesSince;
 };
 
 using config_plan =
@@ -67,18 +68,18 @@
                            const std::string &Submission, std::int64_t WallNow);
 
 /// What became of a commit whose answer was lost or that met a conflict.
-enum class commit_fate {
+enum class lost_commit_outcome {
   Accepted,
   /// The head has moved on without it: it can never take effect.
-  Replaced,
+  Superseded,
   /// The head is as it was: it may still take effect, or be sent again.
   Pending,
   /// Its version is too old for its sheet to be kept.
-  Forgotten,
+  TooOld,
 };
 
-commit_fate resolveLostAnswer(const config_state &State,
-                              const config_commit &Commit);
+lost_commit_outcome resolveLostAnswer(const config_state &State,
+                                      const config_commit &Commit);
 
 /// The run of one request from its first read to its end.
 struct submission {
@@ -109,6 +110,6 @@
 submission_action onCommitAnswer(submission &Submission, commit_answer Answer);
 
 /// How a request ends that could not be finished in time.
-base::failure onGivenUp(const submission &Submission);
+base::failure failureOnTimeout(const submission &Submission);
 
 } // namespace redwinggw::control
--- a/packages/control/include/redwinggw/control/configuration_service.hpp
+++ b/packages/control/include/redwinggw/control/configuration_service.hpp
@@ -57,7 +57,7 @@
 struct submitted {
   base::config_version Version = 0;
   /// It had been accepted by an earlier, identical submission.
-  bool Already = false;
+  bool AlreadyAccepted = false;
   /// A majority knows of it, so that it is in force everywhere in a moment,
   /// also at instances that cannot be reached: these stop to serve.
   bool Confirmed = false;
--- a/packages/control/include/redwinggw/control/membership_knowledge.hpp
+++ b/packages/control/include/redwinggw/control/membership_reports.hpp
@@ -23,7 +23,7 @@
 
 /// Takes in the report that \p Member just sent. \p MadeAt is the earliest
 /// time when it can have been made, if that is known.
-void learn(membership &Membership, member &Member,
-           std::optional<base::instant> MadeAt, base::instant Now);
+void applyReport(membership &Membership, member &Member,
+                 std::optional<base::instant> MadeAt, base::instant Now);
 
 } // namespace redwinggw::control
--- a/packages/control/include/redwinggw/control/operator_server.hpp
+++ b/packages/control/include/redwinggw/control/operator_server.hpp
@@ -46,7 +46,7 @@
   base::task<http::response> answer(http::request Request);
   base::task<base::result<boost::json::object>> perform(http::request Request);
   boost::json::object status() const;
-  bool mayEnter(const http::request &Request) const;
+  bool isAuthorized(const http::request &Request) const;
 
   std::string OperatorKey;
   std::map<std::string, route, std::less<>> Routes;
--- a/packages/control/include/redwinggw/control/peer_service.hpp
+++ b/packages/control/include/redwinggw/control/peer_service.hpp
@@ -2,7 +2,7 @@
 
 #include "redwinggw/base/error.hpp"
 #include "redwinggw/base/time.hpp"
-#include "redwinggw/control/currency.hpp"
+#include "redwinggw/control/config_freshness.hpp"
 #include "redwinggw/control/membership.hpp"
 #include "redwinggw/storage/store.hpp"
 #include "redwinggw/wire/message.hpp"
@@ -53,7 +53,7 @@
   peer_service(boost::asio::any_io_executor Executor, peer_identity Identity,
                http::address Listen, std::string FleetKey,
                storage::store &Store, membership_limits Limits = {},
-               currency_limits CurrencyLimits = {});
+               config_freshness_limits FreshnessLimits = {});
   peer_service(const peer_service &) = delete;
   peer_service &operator=(const peer_service &) = delete;
   ~peer_service();
@@ -106,37 +106,37 @@
 
   /// \p Fill completes the own heartbeats right before they leave, once for all
   /// of a time. Answers between two of them carry what it left.
-  void completeHeartbeats(std::function<void(wire::peer_report &)> Fill);
+  void setHeartbeatFiller(std::function<void(wire::peer_report &)> Fill);
 
   /// Sends the next heartbeat at once: it carries news that others wait for.
-  void sendNow();
+  void sendHeartbeatsNow();
 
   /// Sends a reading of the store to all live members, through relays where
   /// there are any, and takes in theirs.
-  void sendReading(const wire::store_reading &Reading);
-  using reading_handler =
-      std::function<void(const member &, const wire::store_reading &)>;
-  void onReading(reading_handler Handler);
+  void sendSharedRead(const wire::shared_store_read &SharedRead);
+  using shared_read_handler =
+      std::function<void(const member &, const wire::shared_store_read &)>;
+  void onSharedRead(shared_read_handler Handler);
 
   /// Reports on groups, of any number. Call it with setVersion: whoever hears
   /// of a version must hear of what it is.
-  void tellGroups(std::vector<wire::group_report> Reports);
+  void setAllGroupReports(std::vector<wire::group_report> Reports);
 
   /// What this instance passes on of others beside their ages; see
   /// membership.
   void setDigests(wire::fleet_digest Zone, wire::fleet_digest Fleet);
   /// Whether anything of others is passed on.
-  void passOn(bool Allowed);
+  void setRelaysReports(bool Allowed);
 
   /// Called when a properly signed datagram came from an instance that is not
   /// listed: the list should be read again.
-  void onStranger(std::function<void()> Handler);
+  void onUnlistedInstance(std::function<void()> Handler);
 
-  bool hearsMajority(base::instant Now) const;
+  bool inContactWithMajority(base::instant Now) const;
   bool majorityKnows(base::config_version Version) const;
 
   /// Whether this instance may serve now.
-  currency judgeCurrency(base::instant Now);
+  config_freshness configFreshness(base::instant Now);
 
   const peer_traffic &traffic() const;
 
--- a/packages/control/include/redwinggw/control/relays.hpp
+++ b/packages/control/include/redwinggw/control/relays.hpp
@@ -30,9 +30,9 @@
 /// This instance as a member, for its rank.
 member selfAsMember(const membership &Membership);
 
-/// Whether \p Member said something directly at \p Now - RelaySilence or later.
-bool isHeardDirectly(const membership &Membership, const member &Member,
-                     base::instant Now);
+/// Whether \p Member said something directly at \p Now - RelayTimeout or later.
+bool isInDirectContact(const membership &Membership, const member &Member,
+                       base::instant Now);
 
 /// Whether \p Member reports to this instance as to its relay.
 bool reportsHere(const member &Member);
@@ -52,10 +52,11 @@
                                    base::instant Now);
 
 /// Notes that a heartbeat to \p Member leaves at \p Now. One that has not
-/// answered for RelaySilence is passed over for a while.
-void noteAsked(const membership &Membership, member &Member, base::instant Now);
+/// answered for RelayTimeout is passed over for a while.
+void recordHeartbeatSent(const membership &Membership, member &Member,
+                         base::instant Now);
 
 /// Notes that something came from \p Member itself at \p Now.
-void noteAnswered(member &Member, base::instant Now);
+void recordHeartbeatReceived(member &Member, base::instant Now);
 
 } // namespace redwinggw::control
--- a/packages/control/include/redwinggw/control/share_lease.hpp
+++ b/packages/control/include/redwinggw/control/share_lease.hpp
@@ -22,11 +22,11 @@
 /// its lease while it hears a majority of the instances and none of them
 /// knows of an answer that the store gave anybody after the lease's end. A
 /// taker that had such an answer says so in its heartbeats, waits until a
-/// majority echoed one of these, then HearBound and a Ttl more. The two
+/// majority echoed one of these, then ContactTimeout and a Ttl more. The two
 /// majorities share an instance; what that one says afterwards names the
-/// answer. After HearBound the holder has its word or does not hear it, and
-/// stops. An instance that starts again in between counts for the holder only
-/// once it read the store itself, which is a later answer. Fleets above
+/// answer. After ContactTimeout the holder has its word or does not hear it,
+/// and stops. An instance that starts again in between counts for the holder
+/// only once it read the store itself, which is a later answer. Fleets above
 /// DirectLimit do without this rule, since there an echo of a majority takes
 /// too long: the holder stops at the lease's end.
 namespace redwinggw::control {
--- a/packages/control/include/redwinggw/control/sheet.hpp
+++ b/packages/control/include/redwinggw/control/sheet.hpp
@@ -29,7 +29,7 @@
 };
 
 /// What a sheet says, or each of its faults. Exactly one member is set.
-struct sheet_reading {
+struct sheet_parse_result {
   /// Its Version is the one that the sheet was made from.
   std::optional<configuration> Configuration;
   std::vector<sheet_fault> Faults;
@@ -37,10 +37,10 @@
 
 /// Reads \p Text and checks all of it; every fault is reported at once, in the
 /// order of the rows. Thread safe.
-sheet_reading readSheet(std::string_view Text);
+sheet_parse_result parseSheet(std::string_view Text);
 
 /// The sheet that declares \p Configuration, made from its version.
-/// readSheet(renderSheet(C)) gives C back for each C that readSheet can give.
+/// parseSheet(renderSheet(C)) gives C back for each C that parseSheet can give.
 /// Thread safe.
 std::string renderSheet(const configuration &Configuration);
 
--- a/packages/control/src/config_changing.cpp
+++ b/packages/control/src/config_changing.cpp
@@ -34,12 +34,12 @@
 } // namespace
 
 task<submission_action>
-configuration_service::state::finish(submission &Submission) {
+configuration_service::state::runSubmission(submission &Submission) {
   const base::instant Deadline = base::now() + Options.SubmitTimeout;
   submission_action Action = read_config{};
   while (!isEnd(Action)) {
     if (base::now() >= Deadline || Stopped)
-      co_return config_refused{onGivenUp(Submission), {}};
+      co_return config_refused{failureOnTimeout(Submission), {}};
     if (const auto *Commit = std::get_if<config_commit>(&Action)) {
       storage::commit_request Request = Commit->Request;
       const auto Committed =
@@ -66,7 +66,7 @@
                       "nothing was changed: this instance does not hear a "
                       "majority of the fleet");
   submission Submission(std::move(Request), base::randomId());
-  const submission_action Action = co_await finish(Submission);
+  const submission_action Action = co_await runSubmission(Submission);
   if (const auto *Refused = std::get_if<config_refused>(&Action))
     co_return Refused->Failure;
   const auto &Accepted = std::get<config_accepted>(Action);
@@ -74,7 +74,7 @@
             "Version " + std::to_string(Accepted.Version) + " is accepted.");
   submitted Submitted;
   Submitted.Version = Accepted.Version;
-  Submitted.Already = Accepted.Already;
+  Submitted.AlreadyAccepted = Accepted.AlreadyAccepted;
   co_return co_await awaitInForce(Submitted);
 }
 
@@ -116,12 +116,12 @@
 /// first, and back only when it is proved that nothing was changed.
 task<result<submitted>>
 configuration_service::state::withdraw(std::string KeyId) {
-  Running.insert(KeyId);
+  RunningWithdrawals.insert(KeyId);
   if (withdrawHere(InForce, KeyId))
     notify();
   config_request Request = key_withdrawal{KeyId};
   auto Withdrawn = co_await change(std::move(Request));
-  Running.erase(KeyId);
+  RunningWithdrawals.erase(KeyId);
   const bool Unknown =
       !Withdrawn && kindOf(Withdrawn.error()) == errc::OutcomeUnknown;
   const bool Gone = !Withdrawn && kindOf(Withdrawn.error()) == errc::NotFound;
@@ -136,7 +136,7 @@
   const auto Self = shared_from_this();
   config_request Request = key_withdrawal{KeyId};
   const auto Withdrawn = co_await change(std::move(Request));
-  Running.erase(KeyId);
+  RunningWithdrawals.erase(KeyId);
   if (Withdrawn)
     base::log(log_level::Info, log_part::Configuration,
               "A withdrawal of unknown outcome was completed.");
@@ -144,7 +144,7 @@
 
 void configuration_service::state::startWithdrawals() {
   for (const customer_key &Key : InForce.Withdrawing) {
-    if (!StoreAnswers || !Running.insert(Key.Id).second)
+    if (!StoreAnswers || !RunningWithdrawals.insert(Key.Id).second)
       continue;
     boost::asio::co_spawn(Executor, finishWithdrawal(Key.Id),
                           boost::asio::detached);
--- a/packages/control/src/config_reading.cpp
+++ b/packages/control/src/config_reading.cpp
@@ -24,7 +24,7 @@
   const base::instant Sent = base::now();
   std::vector<std::string> Keys{HeadKey};
   const auto Rows = co_await storage::get(Store, std::move(Keys));
-  noteReading(Rows.has_value());
+  recordStoreResponse(Rows.has_value());
   if (!Rows)
     co_return Rows.error();
   const auto Head = headOf(Rows->front());
@@ -119,10 +119,11 @@
 
 void configuration_service::state::notify() const {
   for (const auto &Callback : Callbacks)
-    Callback(InForce.Configuration ? *InForce.Configuration : Nothing);
+    Callback(InForce.Configuration ? *InForce.Configuration
+                                   : EmptyConfiguration);
 }
 
-void configuration_service::state::noteReading(bool Answered) {
+void configuration_service::state::recordStoreResponse(bool Answered) {
   if (Answered != StoreAnswers)
     base::log(Answered ? log_level::Info : log_level::Warning,
               log_part::Configuration,
--- a/packages/control/src/config_rows.cpp
+++ b/packages/control/src/config_rows.cpp
@@ -78,7 +78,7 @@
 }
 
 result<configuration> configurationOf(const accepted_sheet &Sheet) {
-  sheet_reading Reading = readSheet(Sheet.Text);
+  sheet_parse_result Reading = parseSheet(Sheet.Text);
   if (!Reading.Configuration)
     return failure(errc::BadSheet, "version " + std::to_string(Sheet.Version) +
                                        ": " + describe(Reading.Faults.front()));
--- a/packages/control/src/config_state.hpp
+++ b/packages/control/src/config_state.hpp
@@ -30,7 +30,7 @@
 
   // Changing.
   /// Carries out the actions of \p Submission until it ends.
-  base::task<submission_action> finish(submission &Submission);
+  base::task<submission_action> runSubmission(submission &Submission);
   /// Runs \p Request to its end, brings it into force here, and waits for the
   /// other instances.
   base::task<base::result<submitted>> change(config_request Request);
@@ -42,7 +42,7 @@
   void startWithdrawals();
   void apply(configuration Accepted);
   void notify() const;
-  void noteReading(bool Answered);
+  void recordStoreResponse(bool Answered);
   base::task<void> pause(base::milliseconds Time);
   base::milliseconds randomPause();
 
@@ -52,11 +52,11 @@
   configuration_ports Ports;
   boost::asio::steady_timer Timer;
   config_in_force InForce;
-  configuration Nothing;
+  configuration EmptyConfiguration;
   std::vector<std::function<void(const configuration &)>> Callbacks;
   std::optional<base::instant> LastStoreAnswer;
   /// Withdrawals that are being tried at the moment.
-  std::set<std::string> Running;
+  std::set<std::string> RunningWithdrawals;
   std::minstd_rand Random{std::random_device{}()};
   /// The last read was answered; for one log line a change.
   bool StoreAnswers = true;
--- a/packages/control/src/config_submission.cpp
+++ b/packages/control/src/config_submission.cpp
@@ -63,8 +63,8 @@
       "the sheet was made from version " + std::to_string(Submitted.Version) +
       ", in force is version " + std::to_string(State.Head.Version);
   if (Old && Current) {
-    Refused.Since = changesBetween(*Old, *Current);
-    Detail += "; changed since: " + describe(Refused.Since);
+    Refused.ChangesSince = changesBetween(*Old, *Current);
+    Detail += "; changed since: " + describe(Refused.ChangesSince);
   }
   Refused.Failure = failure(errc::Conflict, std::move(Detail));
   return Refused;
@@ -90,11 +90,12 @@
   return conflict(State, Submitted);
 }
 
-result<configuration> changed(configuration Current, const key_gift &Gift) {
-  const std::string &Customer = Gift.Key.Customer;
+result<configuration> changed(configuration Current,
+                              const key_addition &Addition) {
+  const std::string &Customer = Addition.Key.Customer;
   if (findCustomer(Current, Customer) == nullptr)
     return failure(errc::NotFound, "customer " + Customer);
-  Current.Keys.push_back(Gift.Key);
+  Current.Keys.push_back(Addition.Key);
   std::ranges::sort(Current.Keys, {}, &customer_key::Id);
   return Current;
 }
@@ -143,24 +144,24 @@
                            std::int64_t WallNow) {
   if (const auto *Sheet = std::get_if<configuration>(&Request))
     return planSheet(State, *Sheet, Submission, WallNow);
-  if (const auto *Gift = std::get_if<key_gift>(&Request))
-    return planChange(State, *Gift, Submission, WallNow);
+  if (const auto *Addition = std::get_if<key_addition>(&Request))
+    return planChange(State, *Addition, Submission, WallNow);
   return planChange(State, std::get<key_withdrawal>(Request), Submission,
                     WallNow);
 }
 
-commit_fate resolveLostAnswer(const config_state &State,
-                              const config_commit &Commit) {
+lost_commit_outcome resolveLostAnswer(const config_state &State,
+                                      const config_commit &Commit) {
   const accepted_sheet &Own = Commit.Sheet;
   if (State.Head.Version < Own.Version)
-    return commit_fate::Pending;
+    return lost_commit_outcome::Pending;
   const accepted_sheet *Stored = sheetAt(State, Own.Version);
   if (Stored == nullptr)
-    return commit_fate::Forgotten;
+    return lost_commit_outcome::TooOld;
   // Guards against a winner's sheet taken for one's own: the id is random and
   // written in the same commit as the version.
-  return Stored->Submission == Own.Submission ? commit_fate::Accepted
-                                              : commit_fate::Replaced;
+  return Stored->Submission == Own.Submission ? lost_commit_outcome::Accepted
+                                              : lost_commit_outcome::Superseded;
 }
 
 std::vector<base::config_version> sheetsToRead(const submission &Submission,
@@ -186,13 +187,13 @@
                                                Submission.Id, WallNow));
   const config_commit &Sent = *Submission.Sent;
   switch (resolveLostAnswer(State, Sent)) {
-  case commit_fate::Accepted:
+  case lost_commit_outcome::Accepted:
     return config_accepted{Sent.Sheet.Version, false};
-  case commit_fate::Pending:
+  case lost_commit_outcome::Pending:
     return Sent;
-  case commit_fate::Forgotten:
-    return config_refused{onGivenUp(Submission), {}};
-  case commit_fate::Replaced:
+  case lost_commit_outcome::TooOld:
+    return config_refused{failureOnTimeout(Submission), {}};
+  case lost_commit_outcome::Superseded:
     break;
   }
   // The head has moved, so the commit sent before can never take effect and a
@@ -210,7 +211,7 @@
   return read_config{};
 }
 
-failure onGivenUp(const submission &Submission) {
+failure failureOnTimeout(const submission &Submission) {
   if (!Submission.Sent)
     return {errc::StoreUnreachable, "nothing was changed"};
   const std::string Again =
--- a/packages/control/src/configuration.cpp
+++ b/packages/control/src/configuration.cpp
@@ -53,8 +53,8 @@
   std::vector<std::uint32_t> &Index = Configuration.KeysByDigest;
   Index.resize(Keys.size());
   std::iota(Index.begin(), Index.end(), 0U);
-  std::ranges::sort(Index, {}, [&](std::uint32_t Place) -> std::string_view {
-    return Keys[Place].Digest;
+  std::ranges::sort(Index, {}, [&](std::uint32_t Position) -> std::string_view {
+    return Keys[Position].Digest;
   });
 }
 
@@ -67,8 +67,8 @@
     return findUnindexed(Keys, Digest);
   const auto Found =
       std::ranges::lower_bound(Index, std::string_view(Digest), {},
-                               [&](std::uint32_t Place) -> std::string_view {
-                                 return Keys[Place].Digest;
+                               [&](std::uint32_t Position) -> std::string_view {
+                                 return Keys[Position].Digest;
                                });
   if (Found == Index.end())
     return nullptr;
--- a/packages/control/src/configuration_service.cpp
+++ b/packages/control/src/configuration_service.cpp
@@ -56,7 +56,7 @@
 
 const configuration &configuration_service::inForce() const {
   const auto &Current = State->InForce.Configuration;
-  return Current ? *Current : State->Nothing;
+  return Current ? *Current : State->EmptyConfiguration;
 }
 
 bool configuration_service::hasConfiguration() const {
@@ -81,7 +81,7 @@
 
 task<result<submitted>> configuration_service::submit(std::string Sheet) {
   const auto Self = State;
-  sheet_reading Reading = readSheet(Sheet);
+  sheet_parse_result Reading = parseSheet(Sheet);
   if (!Reading.Configuration)
     co_return failure(errc::BadSheet, linesOf(Reading.Faults));
   config_request Request = std::move(*Reading.Configuration);
@@ -94,11 +94,11 @@
   given_key Given;
   Given.Id = "key-" + base::randomId().substr(0, KeyIdDigits);
   Given.Key = base::randomId() + base::randomId();
-  key_gift Gift;
-  Gift.Key = {
+  key_addition Addition;
+  Addition.Key = {
       Given.Id, Customer,
       base::toHex(base::keyedDigest(Self->Options.FleetKey, Given.Key))};
-  config_request Request = std::move(Gift);
+  config_request Request = std::move(Addition);
   const auto Submitted = co_await Self->change(std::move(Request));
   if (Submitted) {
     Given.Submitted = *Submitted;
--- a/packages/control/src/demand_shares.cpp
+++ b/packages/control/src/demand_shares.cpp
@@ -239,7 +239,7 @@
 
 void divideRates(demand_shares &Shares, const membership &Membership,
                  bool InTouch, instant Now) {
-  const bool Heard = hearsMajority(Membership, Now);
+  const bool Heard = inContactWithMajority(Membership, Now);
   if (InTouch)
     Shares.IsolatedSince.reset();
   else if (!Shares.IsolatedSince)
@@ -342,14 +342,14 @@
 
 wire::demand_digest zoneDemands(const demand_shares &Shares) {
   wire::demand_digest Digest = digestOf(Shares, &demand_account::Zone);
-  Digest.Heard = countOf(Shares.ZoneInstances);
+  Digest.Contributors = countOf(Shares.ZoneInstances);
   return Digest;
 }
 
 wire::demand_digest fleetDemands(const demand_shares &Shares) {
   wire::demand_digest Digest = digestOf(Shares, &demand_account::Fleet);
-  Digest.Heard = countOf(Shares.FleetInstances);
-  Digest.Unknown = countOf(Shares.UnknownInstances);
+  Digest.Contributors = countOf(Shares.FleetInstances);
+  Digest.NeverSeen = countOf(Shares.UnknownInstances);
   return Digest;
 }
 
--- a/packages/control/src/demand_sources.cpp
+++ b/packages/control/src/demand_sources.cpp
@@ -26,7 +26,7 @@
                        instant Now) {
   demand_source Source;
   Source.Name = Member.Name;
-  Source.State = stateAt(Member.DirectAt, Times, Now);
+  Source.State = stateAt(Member.DirectHeartbeatAt, Times, Now);
   Source.ReportsHere = reportsHere(Member);
   Source.Told = &Member.Report.Demands;
   return Source;
@@ -36,8 +36,8 @@
                        const source_times &Times, instant Now) {
   demand_source Source;
   Source.Name = std::move(Name);
-  Source.State = stateAt(Relay.DirectAt, Times, Now);
-  Source.Instances = Relay.Report.Digest.Demands.Heard;
+  Source.State = stateAt(Relay.DirectHeartbeatAt, Times, Now);
+  Source.Instances = Relay.Report.Digest.Demands.Contributors;
   Source.Summed = &Relay.Report.Digest.Demands;
   return Source;
 }
@@ -54,18 +54,18 @@
 const member *chosenRelay(const std::vector<const member *> &Relays,
                           const source_times &Times, instant Now) {
   const auto IsBetter = [&](const member *A, const member *B) {
-    const bool HeardA = Now - *A->DirectAt <= Times.HeardFor;
-    const bool HeardB = Now - *B->DirectAt <= Times.HeardFor;
+    const bool HeardA = Now - *A->DirectHeartbeatAt <= Times.HeardFor;
+    const bool HeardB = Now - *B->DirectHeartbeatAt <= Times.HeardFor;
     if (HeardA && HeardB)
       return ranksBefore(*A, *B);
-    return *A->DirectAt > *B->DirectAt;
+    return *A->DirectHeartbeatAt > *B->DirectHeartbeatAt;
   };
   const auto Best = std::ranges::min_element(Relays, IsBetter);
   return Best == Relays.end() ? nullptr : *Best;
 }
 
 bool hasDigest(const member &Member, wire::digest_scope Scope) {
-  return Member.DirectAt && Member.Report.Digest.Scope == Scope;
+  return Member.DirectHeartbeatAt && Member.Report.Digest.Scope == Scope;
 }
 
 /// An instance that relays for nobody goes by the sums of its relay.
@@ -75,7 +75,7 @@
   std::vector<const member *> Relays;
   for (const member &Member : Membership.Members)
     if (hasDigest(Member, wire::digest_scope::Fleet) &&
-        Member.Report.Digest.Demands.Heard > 0)
+        Member.Report.Digest.Demands.Contributors > 0)
       Relays.push_back(&Member);
   const member *Relay = chosenRelay(Relays, Times, Now);
   if (Relay == nullptr)
@@ -83,8 +83,8 @@
   std::vector<demand_source> Sources{sourceOf(*Relay, "fleet", Times, Now)};
   Sources.front().WithOwn = true;
   Sources.front().Instances -= 1;
-  if (Relay->Report.Digest.Demands.Unknown > 0)
-    Sources.push_back(unknownSource(Relay->Report.Digest.Demands.Unknown));
+  if (Relay->Report.Digest.Demands.NeverSeen > 0)
+    Sources.push_back(unknownSource(Relay->Report.Digest.Demands.NeverSeen));
   return Sources;
 }
 
@@ -173,8 +173,8 @@
     Demand.Rate = Sum->Rate;
   if (const auto *Silent = entryOf(Source.Summed->Silent, Customer)) {
     Demand.SilentRate = Silent->Rate;
-    Demand.SilentPart = Silent->Part;
-    Demand.MissedPart = Silent->Missed;
+    Demand.SilentPart = Silent->Reserved;
+    Demand.MissedPart = Silent->LongSilent;
   }
   return Demand;
 }
--- a/packages/control/src/gathered_rates.cpp
+++ b/packages/control/src/gathered_rates.cpp
@@ -66,7 +66,8 @@
              instant Now) {
   return !hasGathered(Shares, Now) &&
          std::ranges::none_of(Membership.Members, [&](const member &Member) {
-           return Member.Gathers && isHeard(Membership, Member, Now);
+           return Member.CentralizesBuckets &&
+                  isInContact(Membership, Member, Now);
          });
 }
 
@@ -133,7 +134,7 @@
 void gatherRates(demand_shares &Shares, const membership &Membership,
                  bool InTouch, instant Now) {
   const bool Gathers = usesRelays(Membership) && Shares.Acquainted && InTouch &&
-                       hearsMajority(Membership, Now);
+                       inContactWithMajority(Membership, Now);
   if (Gathers) {
     chooseKeepers(Shares, Membership, Now);
     Shares.GatheredAt = Now;
--- a/packages/control/src/membership.cpp
+++ b/packages/control/src/membership.cpp
@@ -1,7 +1,7 @@
 #include "redwinggw/control/membership.hpp"
 
 #include "redwinggw/base/enum_table.hpp"
-#include "redwinggw/control/membership_knowledge.hpp"
+#include "redwinggw/control/membership_reports.hpp"
 #include "redwinggw/control/relays.hpp"
 
 #include <algorithm>
@@ -38,13 +38,13 @@
 
 peer_send heartbeatTo(membership &Membership, const member &Member,
                       heartbeat_kind Kind, instant Now) {
-  peer_send Send{Member.Address, stamp(Membership, Member.Name, Now)};
+  peer_send Send{Member.Address, nextDatagram(Membership, Member.Name, Now)};
   wire::peer_report Report = localReport(Membership, Now);
   Report.EchoIncarnation = Member.Window.Incarnation;
   Report.EchoSequence = Member.Heartbeat;
   Report.Reports = Kind == heartbeat_kind::Report;
   // Two that both take themselves for relays find out by an answer.
-  const bool Silent = !isHeardDirectly(Membership, Member, Now);
+  const bool Silent = !isInDirectContact(Membership, Member, Now);
   Report.WantsReply =
       Report.Reports || (Kind == heartbeat_kind::Relay && Silent);
   if (Kind == heartbeat_kind::Answer)
@@ -76,24 +76,24 @@
   const auto DeadAfter = Relayed ? Limits.RelayedDeadAfter : Limits.DeadAfter;
   const auto SuspectAfter =
       Relayed ? Limits.RelayedSuspectAfter : Limits.SuspectAfter;
-  const auto Silence = Now - Member.HeardAt.value_or(Member.Since);
+  const auto Silence = Now - Member.LastSeenAt.value_or(Member.ListedSince);
   if (Silence > DeadAfter)
     return member_state::Dead;
-  if (Member.ListedLeaving || Member.Report.Leaving || Member.ToldLeaving)
+  if (Member.ListedLeaving || Member.Report.Leaving || Member.RelayedLeaving)
     return member_state::Leaving;
-  return !Member.HeardAt || Silence > SuspectAfter ? member_state::Suspect
-                                                   : member_state::Alive;
+  return !Member.LastSeenAt || Silence > SuspectAfter ? member_state::Suspect
+                                                      : member_state::Alive;
 }
 
 /// A member that started again knows nothing of what it knew before.
 void forgetFormerIncarnation(member &Member) {
   Member.Heartbeat = 0;
-  Member.HeardAt.reset();
+  Member.LastSeenAt.reset();
   Member.ReportAt.reset();
   Member.Report = {};
-  Member.Informed = false;
-  Member.ToldLeaving = false;
-  Member.Gathers = false;
+  Member.ReadStoreSinceStart = false;
+  Member.RelayedLeaving = false;
+  Member.CentralizesBuckets = false;
   Member.KnownHead = 0;
   Member.KnownVersion = 0;
 }
@@ -112,8 +112,8 @@
   return Membership;
 }
 
-wire::datagram stamp(membership &Membership, std::string_view Receiver,
-                     instant Now) {
+wire::datagram nextDatagram(membership &Membership, std::string_view Receiver,
+                            instant Now) {
   wire::datagram Datagram;
   Datagram.Sender = Membership.Self.Name;
   Datagram.Receiver = Receiver;
@@ -133,7 +133,7 @@
     member &Member =
         Members.emplace_back(Known != nullptr ? std::move(*Known) : member{});
     if (Known == nullptr)
-      Member.Since = Now;
+      Member.ListedSince = Now;
     Member.Name = Instance.Name;
     Member.Zone = Instance.Zone;
     Member.Address = Instance.Peers;
@@ -143,23 +143,23 @@
   std::ranges::sort(Members, {}, &member::Name);
   Membership.Members = std::move(Members);
   Membership.ListKnown = true;
-  Membership.ToldOfStrangers = false;
+  Membership.UnlistedReported = false;
   indexList(Membership);
 }
 
-void onStranger(membership &Membership, const wire::datagram &Datagram,
-                const http::address &From, instant Now) {
+void onUnlistedInstance(membership &Membership, const wire::datagram &Datagram,
+                        const http::address &From, instant Now) {
   const auto *Report = std::get_if<wire::peer_report>(&Datagram.Body);
   const bool Meant = Datagram.Receiver == Membership.Self.Name &&
                      Datagram.Sender != Membership.Self.Name;
-  if (!Membership.Limits.AcceptStrangers || Report == nullptr || !Meant ||
+  if (!Membership.Limits.AcceptUnlisted || Report == nullptr || !Meant ||
       Report->Leaving)
     return;
   member &Member = Membership.Members.emplace_back();
   Member.Name = Datagram.Sender;
   Member.Zone = Report->Zone;
   Member.Address = From;
-  Member.Since = Now;
+  Member.ListedSince = Now;
   std::ranges::sort(Membership.Members, {}, &member::Name);
   indexList(Membership);
 }
@@ -173,22 +173,23 @@
   }
   member *Member = findMutable(Membership, Datagram.Sender);
   if (Member == nullptr) {
-    ++Counters.Foreign;
+    ++Counters.UnknownSender;
     return false;
   }
   if (Datagram.Incarnation > Member->Window.Incarnation)
     forgetFormerIncarnation(*Member);
-  switch (wire::note(Member->Window, Datagram.Incarnation, Datagram.Sequence)) {
-  case wire::freshness::Newest:
-  case wire::freshness::Crossed:
+  switch (wire::recordDatagram(Member->Window, Datagram.Incarnation,
+                               Datagram.Sequence)) {
+  case wire::datagram_order::Newest:
+  case wire::datagram_order::Reordered:
     return true;
-  case wire::freshness::Doubled:
-    ++Counters.Doubled;
+  case wire::datagram_order::Duplicate:
+    ++Counters.Duplicate;
     return false;
-  case wire::freshness::Former:
+  case wire::datagram_order::FormerIncarnation:
     break;
   }
-  ++Counters.Former;
+  ++Counters.FormerIncarnation;
   return false;
 }
 
@@ -204,18 +205,18 @@
   if (Member == nullptr)
     return {};
   if (Datagram.Sequence <= Member->Heartbeat) {
-    ++Membership.Counters.Crossed;
+    ++Membership.Counters.Reordered;
     return {};
   }
   ++Membership.Counters.Heartbeats;
   Member->Heartbeat = Datagram.Sequence;
   Member->ArrivedAt = Now;
-  noteAnswered(*Member, Now);
+  recordHeartbeatReceived(*Member, Now);
   Member->Report = Report;
   const std::optional<instant> MadeAt = Membership.Limits.AgeByEcho
                                             ? echoedAt(Membership, Report)
                                             : std::optional(Now);
-  learn(Membership, *Member, MadeAt, Now);
+  applyReport(Membership, *Member, MadeAt, Now);
   std::vector<peer_send> Sends;
   if (Report.WantsReply) {
     const auto Kind =
@@ -230,16 +231,16 @@
 
 /// Lets one relay, and not each, pass readings of the store on to this
 /// instance: the first that answers.
-void wantReadingsOfOne(const membership &Membership,
-                       std::vector<peer_send> &Sends, instant Now) {
+void requestSharedReadsFromOne(const membership &Membership,
+                               std::vector<peer_send> &Sends, instant Now) {
   if (Membership.Relay)
     return;
   const auto Chosen = std::ranges::find_if(Sends, [&](const peer_send &Send) {
     const member *Member = findMember(Membership, Send.Datagram.Receiver);
-    return isHeardDirectly(Membership, *Member, Now);
+    return isInDirectContact(Membership, *Member, Now);
   });
   if (Chosen != Sends.end())
-    std::get<wire::peer_report>(Chosen->Datagram.Body).WantsReadings = true;
+    std::get<wire::peer_report>(Chosen->Datagram.Body).WantsSharedReads = true;
 }
 
 } // namespace
@@ -249,9 +250,9 @@
     return true;
   // News takes several heartbeats over relays. Whoever does not hear of a
   // majority can serve little and asks twice as often.
-  const bool Hurries =
-      usesRelays(Membership) && !hearsMajority(Membership, Now);
-  const auto Interval = Membership.Limits.Interval / (Hurries ? 2 : 1);
+  const bool UsesFastRate =
+      usesRelays(Membership) && !inContactWithMajority(Membership, Now);
+  const auto Interval = Membership.Limits.Interval / (UsesFastRate ? 2 : 1);
   return Now - *Membership.LastTick >= Interval;
 }
 
@@ -271,9 +272,9 @@
   for (const std::size_t Index : Plan.Targets) {
     member &Member = Membership.Members[Index];
     Sends.push_back(heartbeatTo(Membership, Member, Kind, Now));
-    noteAsked(Membership, Member, Now);
+    recordHeartbeatSent(Membership, Member, Now);
   }
-  wantReadingsOfOne(Membership, Sends, Now);
+  requestSharedReadsFromOne(Membership, Sends, Now);
   return Sends;
 }
 
@@ -285,7 +286,8 @@
     const member &Member = Membership.Members[Index];
     const bool Told =
         std::ranges::find(Plan.Targets, Index) != Plan.Targets.end();
-    if (Told || reportsHere(Member) || isHeardDirectly(Membership, Member, Now))
+    if (Told || reportsHere(Member) ||
+        isInDirectContact(Membership, Member, Now))
       Sends.push_back(
           heartbeatTo(Membership, Member, heartbeat_kind::Relay, Now));
   }
--- a/packages/control/src/membership_knowledge.cpp
+++ b/packages/control/src/membership_reports.cpp
@@ -1,4 +1,4 @@
-#include "redwinggw/control/membership_knowledge.hpp"
+#include "redwinggw/control/membership_reports.hpp"
 
 #include "redwinggw/control/relays.hpp"
 
@@ -30,28 +30,28 @@
   return toAge(std::chrono::floor<milliseconds>(Now - *At));
 }
 
-void raise(std::optional<instant> &Value, instant Candidate) {
+void raiseTo(std::optional<instant> &Value, instant Candidate) {
   Value = std::max(Value.value_or(Candidate), Candidate);
 }
 
 /// The time of an answer of the store that is \p Age old now, or \p Known.
-void learnContact(std::optional<instant> &Known, wire::age_ms Age,
-                  instant Now) {
+void updateContact(std::optional<instant> &Known, wire::age_ms Age,
+                   instant Now) {
   if (Age != wire::NoAge)
-    raise(Known, Now - milliseconds(Age));
+    raiseTo(Known, Now - milliseconds(Age));
 }
 
-void learnHead(store_knowledge &Store, base::config_version Head,
-               std::optional<instant> ProofAt) {
+void updateHead(store_observations &Store, base::config_version Head,
+                std::optional<instant> HeadReadAt) {
   if (Head < Store.HeadVersion)
     return;
   if (Head > Store.HeadVersion) {
     Store.HeadVersion = Head;
-    Store.ProofAt = ProofAt;
+    Store.HeadReadAt = HeadReadAt;
     return;
   }
-  if (ProofAt)
-    raise(Store.ProofAt, *ProofAt);
+  if (HeadReadAt)
+    raiseTo(Store.HeadReadAt, *HeadReadAt);
 }
 
 constexpr milliseconds AgeStep{wire::AgeStepMs};
@@ -65,36 +65,36 @@
 
 /// Takes in what a relay says of \p Member. Ages add up over relays and are
 /// rounded up at each, so what comes by relay never looks younger than it is.
-void learnRelayedMember(member &Member, const wire::relayed_member &Relayed,
+void applyRelayedMember(member &Member, const wire::relayed_member &Relayed,
                         const wire::peer_report &Report, instant MadeAt) {
   using enum wire::relayed_fact;
   if (hasFact(Relayed, KnowsHead))
     Member.KnownHead = std::max(Member.KnownHead, Report.HeadVersion);
   if (hasFact(Relayed, KnowsVersion))
     Member.KnownVersion = std::max(Member.KnownVersion, Report.Version);
-  const instant HeardAt = MadeAt - Relayed.Age * AgeStep;
-  if (Member.HeardAt.value_or(instant::min()) >= HeardAt)
+  const instant LastSeenAt = MadeAt - Relayed.Age * AgeStep;
+  if (Member.LastSeenAt.value_or(instant::min()) >= LastSeenAt)
     return;
-  Member.HeardAt = HeardAt;
-  raise(Member.ArrivedAt, HeardAt);
-  Member.MayKnow = Report.Version;
-  Member.Informed = hasFact(Relayed, Informed);
-  Member.ToldLeaving = hasFact(Relayed, Leaving);
-  Member.Gathers = hasFact(Relayed, Gathers);
-  if (hasFact(Relayed, ReadsStore))
-    raise(Member.StoreContactAt, HeardAt);
+  Member.LastSeenAt = LastSeenAt;
+  raiseTo(Member.ArrivedAt, LastSeenAt);
+  Member.PossibleVersion = Report.Version;
+  Member.ReadStoreSinceStart = hasFact(Relayed, ReadStoreSinceStart);
+  Member.RelayedLeaving = hasFact(Relayed, Leaving);
+  Member.CentralizesBuckets = hasFact(Relayed, CentralizesBuckets);
+  if (hasFact(Relayed, RecentStoreContact))
+    raiseTo(Member.StoreContactAt, LastSeenAt);
 }
 
-void learnRelayed(membership &Membership, const wire::peer_report &Report,
-                  instant MadeAt) {
+void applyRelayedMembers(membership &Membership,
+                         const wire::peer_report &Report, instant MadeAt) {
   for (const wire::relayed_member &Relayed : Report.Digest.Members) {
     member *Member = findMutableByHash(Membership, Relayed.Instance);
     if (Member == nullptr) {
       const bool Self = Relayed.Instance == wire::hashOf(Membership.Self.Name);
-      Membership.ToldOfStrangers = Membership.ToldOfStrangers || !Self;
+      Membership.UnlistedReported = Membership.UnlistedReported || !Self;
       continue;
     }
-    learnRelayedMember(*Member, Relayed, Report, MadeAt);
+    applyRelayedMember(*Member, Relayed, Report, MadeAt);
   }
 }
 
@@ -105,7 +105,7 @@
 } // namespace
 
 wire::peer_report localReport(const membership &Membership, instant Now) {
-  const store_knowledge &Store = Membership.Store;
+  const store_observations &Store = Membership.Store;
   wire::peer_report Report = Membership.Local;
   Report.Zone = Membership.Self.Zone;
   // An answer leaves later than the positions in it were looked up.
@@ -114,9 +114,9 @@
       Position.Age += ageAtMost(Membership.LocalAt, Now);
   Report.StoreReadAge = ageAtMost(Store.ReadAt, Now);
   Report.HeadVersion = Store.HeadVersion;
-  Report.ProofAge = ageAtMost(Store.ProofAt, Now);
+  Report.HeadReadAge = ageAtMost(Store.HeadReadAt, Now);
   Report.OwnContactAge = ageAtLeast(Store.OwnContactAt, Now);
-  Report.HeardContactAge = ageAtLeast(Store.HeardContactAt, Now);
+  Report.PeerContactAge = ageAtLeast(Store.PeerContactAt, Now);
   return Report;
 }
 
@@ -127,22 +127,23 @@
 std::optional<wire::relayed_member>
 relayedMember(const membership &Membership, const member &Member, instant Now) {
   using enum wire::relayed_fact;
-  if (!Member.HeardAt || Member.MayKnow > Membership.Local.Version)
+  if (!Member.LastSeenAt || Member.PossibleVersion > Membership.Local.Version)
     return std::nullopt;
-  const auto Steps = (Now - *Member.HeardAt) / AgeStep + 1;
+  const auto Steps = (Now - *Member.LastSeenAt) / AgeStep + 1;
   if (Steps > wire::MaxAgeSteps)
     return std::nullopt;
   wire::relayed_member Relayed;
   Relayed.Instance = wire::hashOf(Member.Name);
   Relayed.Age = static_cast<std::uint8_t>(Steps);
-  setFact(Relayed, Informed, Member.Informed);
+  setFact(Relayed, ReadStoreSinceStart, Member.ReadStoreSinceStart);
   setFact(Relayed, KnowsHead, Member.KnownHead >= Membership.Store.HeadVersion);
   setFact(Relayed, KnowsVersion,
           Member.KnownVersion >= Membership.Local.Version);
-  setFact(Relayed, ReadsStore, readsStore(Membership, Member, Now));
+  setFact(Relayed, RecentStoreContact,
+          hasRecentStoreContact(Membership, Member, Now));
   setFact(Relayed, Counted, reportsHere(Member));
-  setFact(Relayed, Leaving, Member.Report.Leaving || Member.ToldLeaving);
-  setFact(Relayed, Gathers, Member.Gathers);
+  setFact(Relayed, Leaving, Member.Report.Leaving || Member.RelayedLeaving);
+  setFact(Relayed, CentralizesBuckets, Member.CentralizesBuckets);
   return Relayed;
 }
 
@@ -155,7 +156,7 @@
   wire::fleet_digest Digest =
       Zone ? Membership.ZoneDigest : Membership.FleetDigest;
   Digest.Scope = Scope;
-  if (!Membership.PassesOn)
+  if (!Membership.RelaysReports)
     return Digest;
   for (const member &Member : Membership.Members) {
     const bool Wanted = !Zone || Member.Zone == Membership.Self.Zone;
@@ -182,42 +183,42 @@
   std::ranges::sort(Membership.ByHash);
 }
 
-void learn(membership &Membership, member &Member,
-           std::optional<instant> MadeAt, instant Now) {
+void applyReport(membership &Membership, member &Member,
+                 std::optional<instant> MadeAt, instant Now) {
   const wire::peer_report &Report = Member.Report;
   Member.KnownHead = std::max(Member.KnownHead, Report.HeadVersion);
   Member.KnownVersion = std::max(Member.KnownVersion, Report.Version);
-  Member.ToldLeaving = false;
+  Member.RelayedLeaving = false;
   if (Report.OwnContactAge != wire::NoAge)
-    raise(Member.StoreContactAt, Now - milliseconds(Report.OwnContactAge));
-  store_knowledge &Store = Membership.Store;
-  learnContact(Store.HeardContactAt, Report.OwnContactAge, Now);
-  learnContact(Store.RelayedContactAt, Report.HeardContactAge, Now);
-  std::optional<instant> ProofAt;
-  if (MadeAt && Report.ProofAge != wire::NoAge)
-    ProofAt = *MadeAt - milliseconds(Report.ProofAge);
-  learnHead(Store, Report.HeadVersion, ProofAt);
+    raiseTo(Member.StoreContactAt, Now - milliseconds(Report.OwnContactAge));
+  store_observations &Store = Membership.Store;
+  updateContact(Store.PeerContactAt, Report.OwnContactAge, Now);
+  updateContact(Store.TwoHopContactAt, Report.PeerContactAge, Now);
+  std::optional<instant> HeadReadAt;
+  if (MadeAt && Report.HeadReadAge != wire::NoAge)
+    HeadReadAt = *MadeAt - milliseconds(Report.HeadReadAge);
+  updateHead(Store, Report.HeadVersion, HeadReadAt);
   if (!MadeAt)
     return;
   Member.ReportAt = MadeAt;
-  if (Member.HeardAt.value_or(*MadeAt) <= *MadeAt)
-    Member.MayKnow = Report.Version;
-  Member.MayKnow = std::max(Member.MayKnow, Report.Version);
-  raise(Member.HeardAt, *MadeAt);
-  Member.Informed = Report.StoreReadAge != wire::NoAge;
-  Member.Gathers = Report.Gathers;
-  learnRelayed(Membership, Report, *MadeAt);
+  if (Member.LastSeenAt.value_or(*MadeAt) <= *MadeAt)
+    Member.PossibleVersion = Report.Version;
+  Member.PossibleVersion = std::max(Member.PossibleVersion, Report.Version);
+  raiseTo(Member.LastSeenAt, *MadeAt);
+  Member.ReadStoreSinceStart = Report.StoreReadAge != wire::NoAge;
+  Member.CentralizesBuckets = Report.CentralizesBuckets;
+  applyRelayedMembers(Membership, Report, *MadeAt);
 }
 
 void onStoreRead(membership &Membership, instant Sent, instant Answered,
                  base::config_version Head) {
-  raise(Membership.Store.ReadAt, Sent);
-  learnHead(Membership.Store, Head, Sent);
+  raiseTo(Membership.Store.ReadAt, Sent);
+  updateHead(Membership.Store, Head, Sent);
   onStoreContact(Membership, Answered);
 }
 
 void onStoreContact(membership &Membership, instant Answered) {
-  raise(Membership.Store.OwnContactAt, Answered);
+  raiseTo(Membership.Store.OwnContactAt, Answered);
 }
 
 const member *findByHash(const membership &Membership, std::uint32_t Hash) {
@@ -228,28 +229,30 @@
   return Found ? &Membership.Members[At->second] : nullptr;
 }
 
-bool readsStore(const membership &Membership, const member &Member,
-                instant Now) {
+bool hasRecentStoreContact(const membership &Membership, const member &Member,
+                           instant Now) {
   return Member.StoreContactAt &&
-         Now - *Member.StoreContactAt <= Membership.Limits.ReadsWithin;
+         Now - *Member.StoreContactAt <= Membership.Limits.MaxStoreContactAge;
 }
 
-bool isHeard(const membership &Membership, const member &Member, instant Now) {
-  const auto Bound = usesRelays(Membership) ? Membership.Limits.RelayedHearBound
-                                            : Membership.Limits.HearBound;
-  return Member.HeardAt && Now - *Member.HeardAt <= Bound;
+bool isInContact(const membership &Membership, const member &Member,
+                 instant Now) {
+  const auto Bound = usesRelays(Membership)
+                         ? Membership.Limits.RelayedContactTimeout
+                         : Membership.Limits.ContactTimeout;
+  return Member.LastSeenAt && Now - *Member.LastSeenAt <= Bound;
 }
 
 std::size_t instanceCount(const membership &Membership) {
   return Membership.Members.size() + 1;
 }
 
-bool hearsMajority(const membership &Membership, instant Now) {
-  const bool AnyCounts = !Membership.Limits.OnlyInformedCount;
+bool inContactWithMajority(const membership &Membership, instant Now) {
+  const bool AnyCounts = !Membership.Limits.RequireStoreReadSinceStart;
   const auto Heard =
       std::ranges::count_if(Membership.Members, [&](const member &Member) {
-        return (AnyCounts || Member.Informed) &&
-               isHeard(Membership, Member, Now);
+        return (AnyCounts || Member.ReadStoreSinceStart) &&
+               isInContact(Membership, Member, Now);
       });
   const std::size_t Self = AnyCounts || Membership.Store.ReadAt ? 1 : 0;
   return Membership.ListKnown &&
@@ -266,16 +269,16 @@
          isMajority(Membership, static_cast<std::size_t>(Knowing) + Self);
 }
 
-std::optional<instant> lastContact(const store_knowledge &Store) {
+std::optional<instant> lastStoreContact(const store_observations &Store) {
   // Nothing is less than any time.
   return std::max(
-      {Store.OwnContactAt, Store.HeardContactAt, Store.RelayedContactAt});
+      {Store.OwnContactAt, Store.PeerContactAt, Store.TwoHopContactAt});
 }
 
-bool majorityGot(const membership &Membership, instant Since) {
+bool majorityReceivedSince(const membership &Membership, instant ListedSince) {
   const auto Got =
       std::ranges::count_if(Membership.Members, [&](const member &Member) {
-        return Member.ReportAt && *Member.ReportAt >= Since;
+        return Member.ReportAt && *Member.ReportAt >= ListedSince;
       });
   return Membership.ListKnown &&
          isMajority(Membership, static_cast<std::size_t>(Got) + 1);
--- a/packages/control/src/operator_routes.cpp
+++ b/packages/control/src/operator_routes.cpp
@@ -18,8 +18,8 @@
 using base::task;
 using answer = task<result<json::object>>;
 
-constexpr std::int64_t HistoryDefault = 20;
-constexpr std::int64_t HistoryMost = 200;
+constexpr std::int64_t DefaultHistory = 20;
+constexpr std::int64_t MaxHistory = 200;
 
 /// A text that must be there and not empty.
 result<std::string> textIn(const json::object &Body, std::string_view Name) {
@@ -55,7 +55,7 @@
 json::array changesOf(const std::vector<config_change> &Changes) {
   json::array List;
   for (const config_change &Change : Changes)
-    List.push_back(json::object{{"part", partName(Change.Part)},
+    List.push_back(json::object{{"part", rowKindName(Change.RowKind)},
                                 {"name", Change.Name},
                                 {"change", changeName(Change.Kind)}});
   return List;
@@ -63,7 +63,7 @@
 
 json::object bodyOf(const submitted &Submitted) {
   return {{"version", Submitted.Version},
-          {"already", Submitted.Already},
+          {"already", Submitted.AlreadyAccepted},
           {"confirmed", Submitted.Confirmed},
           {"in_force_at", Submitted.InForceAt},
           {"instances", Submitted.Instances}};
@@ -80,7 +80,7 @@
   const auto Text = textIn(Body, "sheet");
   if (!Text)
     co_return Text.error();
-  const sheet_reading Reading = readSheet(*Text);
+  const sheet_parse_result Reading = parseSheet(*Text);
   co_return json::object{{"ok", Reading.Configuration.has_value()},
                          {"faults", faultsOf(Reading.Faults)}};
 }
@@ -89,7 +89,7 @@
   const auto Text = textIn(Body, "sheet");
   if (!Text)
     co_return Text.error();
-  const sheet_reading Reading = readSheet(*Text);
+  const sheet_parse_result Reading = parseSheet(*Text);
   json::object Answer{{"ok", Reading.Configuration.has_value()},
                       {"faults", faultsOf(Reading.Faults)},
                       {"in_force", Service.inForce().Version}};
@@ -130,11 +130,11 @@
 }
 
 answer showHistory(configuration_service &Service, json::object Body) {
-  const auto Count = numberIn(Body, "count", HistoryDefault);
+  const auto Count = numberIn(Body, "count", DefaultHistory);
   if (!Count)
     co_return Count.error();
   const auto Sheets = co_await Service.history(
-      static_cast<std::size_t>(std::min(*Count, HistoryMost)));
+      static_cast<std::size_t>(std::min(*Count, MaxHistory)));
   if (!Sheets)
     co_return Sheets.error();
   json::array Versions;
--- a/packages/control/src/operator_server.cpp
+++ b/packages/control/src/operator_server.cpp
@@ -69,7 +69,7 @@
 
 void operator_server::drain() { Server.drain(); }
 
-bool operator_server::mayEnter(const http::request &Request) const {
+bool operator_server::isAuthorized(const http::request &Request) const {
   const std::string_view Shown = Request.Authorization;
   return !OperatorKey.empty() && Shown.starts_with(Scheme) &&
          base::equalInConstantTime(Shown.substr(Scheme.size()), OperatorKey);
@@ -83,7 +83,7 @@
 }
 
 task<result<json::object>> operator_server::perform(http::request Request) {
-  if (!mayEnter(Request))
+  if (!isAuthorized(Request))
     co_return failure(errc::UnknownKey, "the operators' key is needed");
   if (Request.Target == StatusPath)
     co_return status();
--- a/packages/control/src/peer_service.cpp
+++ b/packages/control/src/peer_service.cpp
@@ -42,20 +42,22 @@
 struct peer_service::state : std::enable_shared_from_this<state> {
   state(asio::any_io_executor Executor, peer_identity Identity,
         http::address Listen, std::string FleetKey, storage::store &Store,
-        membership_limits Limits, currency_limits CurrencyLimits)
+        membership_limits Limits, config_freshness_limits FreshnessLimits)
       : Executor(Executor), Socket(Executor), TickTimer(Executor),
         ListTimer(Executor), Listen(std::move(Listen)),
         FleetKey(std::move(FleetKey)), Store(Store),
         Membership(makeMembership(std::move(Identity), Limits)) {
-    Currency.Limits = CurrencyLimits;
+    Freshness.Limits = FreshnessLimits;
   }
 
   base::result<http::address> open();
   void tick();
   void transmit(peer_send Send);
   void receive(std::string_view Bytes, const udp::endpoint &From);
-  void sendReading(const member &To, const wire::store_reading &Reading);
-  void passOnReading(const member &From, const wire::store_reading &Reading);
+  void sendSharedRead(const member &To,
+                      const wire::shared_store_read &SharedRead);
+  void relaySharedRead(const member &From,
+                       const wire::shared_store_read &SharedRead);
   void close();
 
   asio::any_io_executor Executor;
@@ -66,12 +68,12 @@
   std::string FleetKey;
   storage::store &Store;
   membership Membership;
-  currency_state Currency;
+  config_freshness_state Freshness;
   peer_traffic Traffic;
   report_handler Report;
   std::function<void(wire::peer_report &)> Fill;
-  reading_handler Reading;
-  std::function<void()> Stranger;
+  shared_read_handler SharedRead;
+  std::function<void()> UnlistedHandler;
   share_handler Share;
   clock_port Clock;
   bool Stopped = false;
@@ -131,15 +133,16 @@
   Traffic.ReceivedBytes += Bytes.size();
   const auto Datagram = wire::decode(FleetKey, Bytes);
   if (!Datagram) {
-    ++Membership.Counters.Foreign;
+    ++Membership.Counters.UnknownSender;
     return;
   }
   const bool Listed = findMember(Membership, Datagram->Sender) != nullptr;
   if (!Listed) {
-    control::onStranger(Membership, *Datagram,
-                        {From.address().to_string(), From.port()}, base::now());
-    if (Stranger)
-      Stranger();
+    control::onUnlistedInstance(Membership, *Datagram,
+                                {From.address().to_string(), From.port()},
+                                base::now());
+    if (UnlistedHandler)
+      UnlistedHandler();
   }
   if (!admitDatagram(Membership, *Datagram))
     return;
@@ -151,10 +154,11 @@
     return;
   }
   const member *Member = findMember(Membership, Datagram->Sender);
-  if (const auto *Read = std::get_if<wire::store_reading>(&Datagram->Body)) {
-    passOnReading(*Member, *Read);
-    if (Reading)
-      Reading(*Member, *Read);
+  if (const auto *Read =
+          std::get_if<wire::shared_store_read>(&Datagram->Body)) {
+    relaySharedRead(*Member, *Read);
+    if (SharedRead)
+      SharedRead(*Member, *Read);
     return;
   }
   for (peer_send &Send : onHeartbeat(Membership, *Datagram, base::now()))
@@ -163,25 +167,25 @@
     Report(*Member);
 }
 
-void peer_service::state::sendReading(const member &To,
-                                      const wire::store_reading &Reading) {
-  peer_send Send{To.Address, stamp(Membership, To.Name, base::now())};
-  Send.Datagram.Body = Reading;
+void peer_service::state::sendSharedRead(
+    const member &To, const wire::shared_store_read &SharedRead) {
+  peer_send Send{To.Address, nextDatagram(Membership, To.Name, base::now())};
+  Send.Datagram.Body = SharedRead;
   transmit(std::move(Send));
 }
 
 /// Passes a reading on to the instances that this one relays for.
-void peer_service::state::passOnReading(const member &From,
-                                        const wire::store_reading &Reading) {
-  if (Reading.Relayed)
+void peer_service::state::relaySharedRead(
+    const member &From, const wire::shared_store_read &SharedRead) {
+  if (SharedRead.Relayed)
     return;
-  wire::store_reading Copy = Reading;
+  wire::shared_store_read Copy = SharedRead;
   Copy.Relayed = true;
   for (const member &Member : Membership.Members)
-    if (reportsHere(Member) && Member.Report.WantsReadings &&
+    if (reportsHere(Member) && Member.Report.WantsSharedReads &&
         Member.Name != From.Name &&
-        isHeardDirectly(Membership, Member, base::now()))
-      sendReading(Member, Copy);
+        isInDirectContact(Membership, Member, base::now()))
+      sendSharedRead(Member, Copy);
 }
 
 void peer_service::state::close() {
@@ -236,10 +240,10 @@
                            peer_identity Identity, http::address Listen,
                            std::string FleetKey, storage::store &Store,
                            membership_limits Limits,
-                           currency_limits CurrencyLimits)
+                           config_freshness_limits FreshnessLimits)
     : State(std::make_shared<state>(Executor, std::move(Identity),
                                     std::move(Listen), std::move(FleetKey),
-                                    Store, Limits, CurrencyLimits)) {}
+                                    Store, Limits, FreshnessLimits)) {}
 
 peer_service::~peer_service() { stop(); }
 
@@ -311,41 +315,41 @@
   if (Member == nullptr)
     return false;
   peer_send Send{Member->Address,
-                 stamp(State->Membership, Instance, base::now())};
+                 nextDatagram(State->Membership, Instance, base::now())};
   Send.Datagram.Body = std::move(Message);
   State->transmit(std::move(Send));
   return true;
 }
 
-void peer_service::completeHeartbeats(
+void peer_service::setHeartbeatFiller(
     std::function<void(wire::peer_report &)> Fill) {
   State->Fill = std::move(Fill);
 }
 
-void peer_service::sendNow() {
+void peer_service::sendHeartbeatsNow() {
   State->Membership.LastTick.reset();
   State->tick();
 }
 
-void peer_service::sendReading(const wire::store_reading &Reading) {
+void peer_service::sendSharedRead(const wire::shared_store_read &SharedRead) {
   const membership &Membership = State->Membership;
   if (!usesRelays(Membership)) {
     for (const member &Member : Membership.Members)
       if (Member.State != member_state::Dead)
-        State->sendReading(Member, Reading);
+        State->sendSharedRead(Member, SharedRead);
     return;
   }
   for (const std::size_t Index : allRelays(Membership, base::now()))
-    State->sendReading(Membership.Members[Index], Reading);
-  State->passOnReading({}, Reading);
+    State->sendSharedRead(Membership.Members[Index], SharedRead);
+  State->relaySharedRead({}, SharedRead);
 }
 
-void peer_service::tellGroups(std::vector<wire::group_report> Reports) {
+void peer_service::setAllGroupReports(std::vector<wire::group_report> Reports) {
   State->Membership.Local.Groups = std::move(Reports);
 }
 
-void peer_service::passOn(bool Allowed) {
-  State->Membership.PassesOn = Allowed;
+void peer_service::setRelaysReports(bool Allowed) {
+  State->Membership.RelaysReports = Allowed;
 }
 
 void peer_service::setDigests(wire::fleet_digest Zone,
@@ -354,29 +358,29 @@
   State->Membership.FleetDigest = std::move(Fleet);
 }
 
-void peer_service::onReading(reading_handler Handler) {
-  State->Reading = std::move(Handler);
+void peer_service::onSharedRead(shared_read_handler Handler) {
+  State->SharedRead = std::move(Handler);
 }
 
-void peer_service::onStranger(std::function<void()> Handler) {
-  State->Stranger = std::move(Handler);
+void peer_service::onUnlistedInstance(std::function<void()> Handler) {
+  State->UnlistedHandler = std::move(Handler);
 }
 
 void peer_service::onShareMessage(share_handler Handler) {
   State->Share = std::move(Handler);
 }
 
-bool peer_service::hearsMajority(instant Now) const {
-  return control::hearsMajority(State->Membership, Now);
+bool peer_service::inContactWithMajority(instant Now) const {
+  return control::inContactWithMajority(State->Membership, Now);
 }
 
 bool peer_service::majorityKnows(base::config_version Version) const {
   return control::majorityKnows(State->Membership, Version);
 }
 
-currency peer_service::judgeCurrency(instant Now) {
-  return judge(State->Currency, State->Membership,
-               State->Membership.Local.Version, Now);
+config_freshness peer_service::configFreshness(instant Now) {
+  return evaluateConfigFreshness(State->Freshness, State->Membership,
+                                 State->Membership.Local.Version, Now);
 }
 
 const peer_traffic &peer_service::traffic() const { return State->Traffic; }
--- a/packages/control/src/relays.cpp
+++ b/packages/control/src/relays.cpp
@@ -13,14 +13,14 @@
 /// Relays of an availability zone.
 constexpr std::size_t RelaysPerZone = 2;
 /// Members of a zone that are asked while fewer have answered.
-constexpr std::size_t MostAsked = 4;
+constexpr std::size_t MaxCandidates = 4;
 
-bool isPassedOver(const member &Member, instant Now) {
-  return Member.PassedOverUntil && Now < *Member.PassedOverUntil;
+bool isSkipped(const member &Member, instant Now) {
+  return Member.SkippedUntil && Now < *Member.SkippedUntil;
 }
 
-bool mayRelay(const member &Member, instant Now) {
-  return !isPassedOver(Member, Now) && !Member.ListedLeaving &&
+bool isRelayCandidate(const member &Member, instant Now) {
+  return !isSkipped(Member, Now) && !Member.ListedLeaving &&
          !Member.Report.Leaving;
 }
 
@@ -42,24 +42,24 @@
 /// The relays among \p Indices: from the first in rank on until enough have
 /// answered.
 zone_members relaysAmong(const membership &Membership,
-                         const zone_members &Indices, std::size_t Enough,
+                         const zone_members &Indices, std::size_t Wanted,
                          instant Now) {
   zone_members Relays;
   std::size_t Answering = 0;
   for (const std::size_t Index : Indices) {
-    if (Answering == Enough || Relays.size() == MostAsked)
+    if (Answering == Wanted || Relays.size() == MaxCandidates)
       break;
     const member &Member = Membership.Members[Index];
-    if (!mayRelay(Member, Now))
+    if (!isRelayCandidate(Member, Now))
       continue;
     Relays.push_back(Index);
-    Answering += isHeardDirectly(Membership, Member, Now) ? 1 : 0;
+    Answering += isInDirectContact(Membership, Member, Now) ? 1 : 0;
   }
   return Relays;
 }
 
-bool relaysZone(const membership &Membership, const zone_members &Indices,
-                instant Now) {
+bool isZoneRelay(const membership &Membership, const zone_members &Indices,
+                 instant Now) {
   const member Self = selfAsMember(Membership);
   zone_members Before;
   std::ranges::copy_if(Indices, std::back_inserter(Before),
@@ -68,10 +68,10 @@
                        });
   const auto First = relaysAmong(Membership, Before, RelaysPerZone, Now);
   const auto Answering = std::ranges::count_if(First, [&](std::size_t Index) {
-    return isHeardDirectly(Membership, Membership.Members[Index], Now);
+    return isInDirectContact(Membership, Membership.Members[Index], Now);
   });
   return static_cast<std::size_t>(Answering) < RelaysPerZone &&
-         First.size() < MostAsked;
+         First.size() < MaxCandidates;
 }
 
 } // namespace
@@ -93,14 +93,14 @@
   return Self;
 }
 
-bool isHeardDirectly(const membership &Membership, const member &Member,
-                     instant Now) {
-  return Member.DirectAt &&
-         Now - *Member.DirectAt <= Membership.Limits.RelaySilence;
+bool isInDirectContact(const membership &Membership, const member &Member,
+                       instant Now) {
+  return Member.DirectHeartbeatAt &&
+         Now - *Member.DirectHeartbeatAt <= Membership.Limits.RelayTimeout;
 }
 
 bool reportsHere(const member &Member) {
-  return Member.DirectAt && Member.Report.Reports;
+  return Member.DirectHeartbeatAt && Member.Report.Reports;
 }
 
 heartbeat_plan planHeartbeats(const membership &Membership, instant Now) {
@@ -112,16 +112,17 @@
   }
   const auto Zones = membersByZone(Membership);
   const auto Own = Zones.find(Membership.Self.Zone);
-  Plan.Relay = !Membership.Local.Leaving &&
-               (Own == Zones.end() || relaysZone(Membership, Own->second, Now));
+  Plan.Relay =
+      !Membership.Local.Leaving &&
+      (Own == Zones.end() || isZoneRelay(Membership, Own->second, Now));
   for (const auto &[Zone, Indices] : Zones) {
     const bool IsOwn = Zone == Membership.Self.Zone;
     if (!IsOwn && !Plan.Relay)
       continue;
     // A relay is one of its own zone's.
-    const std::size_t Enough =
+    const std::size_t Wanted =
         IsOwn && Plan.Relay ? RelaysPerZone - 1 : RelaysPerZone;
-    std::ranges::copy(relaysAmong(Membership, Indices, Enough, Now),
+    std::ranges::copy(relaysAmong(Membership, Indices, Wanted, Now),
                       std::back_inserter(Plan.Targets));
   }
   return Plan;
@@ -135,20 +136,21 @@
   return Relays;
 }
 
-void noteAsked(const membership &Membership, member &Member, instant Now) {
+void recordHeartbeatSent(const membership &Membership, member &Member,
+                         instant Now) {
   const membership_limits &Limits = Membership.Limits;
   if (!Member.UnansweredSince)
     Member.UnansweredSince = Now;
-  if (Now - *Member.UnansweredSince < Limits.RelaySilence)
+  if (Now - *Member.UnansweredSince < Limits.RelayTimeout)
     return;
-  Member.PassedOverUntil = Now + Limits.PassOverRelay;
+  Member.SkippedUntil = Now + Limits.RelaySkipTime;
   Member.UnansweredSince.reset();
 }
 
-void noteAnswered(member &Member, instant Now) {
-  Member.DirectAt = Now;
+void recordHeartbeatReceived(member &Member, instant Now) {
+  Member.DirectHeartbeatAt = Now;
   Member.UnansweredSince.reset();
-  Member.PassedOverUntil.reset();
+  Member.SkippedUntil.reset();
 }
 
 } // namespace redwinggw::control
--- a/packages/control/src/share_lease.cpp
+++ b/packages/control/src/share_lease.cpp
@@ -75,12 +75,12 @@
   if (!Lease.ToldSince && Contact && *Contact >= Ended)
     Lease.ToldSince = Now;
   const bool Told =
-      Lease.ToldSince && majorityGot(Membership, *Lease.ToldSince);
+      Lease.ToldSince && majorityReceivedSince(Membership, *Lease.ToldSince);
   if (!Lease.TakeAt && (!MayBeExtended || Told))
-    Lease.TakeAt =
-        Now +
-        (MayBeExtended ? Membership.Limits.HearBound : base::milliseconds(0)) +
-        Limits.Ttl + Limits.Margin;
+    Lease.TakeAt = Now +
+                   (MayBeExtended ? Membership.Limits.ContactTimeout
+                                  : base::milliseconds(0)) +
+                   Limits.Ttl + Limits.Margin;
   return Lease.TakeAt && Now >= *Lease.TakeAt;
 }
 
@@ -217,8 +217,8 @@
   if (Now < Lease.ValidUntil || !Limits.HolderHeedsEnd)
     return true;
   const bool Majority =
-      !Limits.ExtensionNeedsMajority || hearsMajority(Membership, Now);
-  const auto Contact = lastContact(Membership.Store);
+      !Limits.ExtensionNeedsMajority || inContactWithMajority(Membership, Now);
+  const auto Contact = lastStoreContact(Membership.Store);
   const bool NoContact =
       !Limits.ExtensionHeedsContact || !Contact || *Contact <= Lease.ValidUntil;
   return Membership.Members.size() <= Membership.Limits.DirectLimit &&
--- a/packages/control/src/share_node.cpp
+++ b/packages/control/src/share_node.cpp
@@ -151,7 +151,7 @@
   const bool Fresh = Now - Lease.ObservedAt <= Node.Settings.Lease.Length;
   const bool Askable = Fresh || isAlive(Membership, Lease.Row.Holder);
   if (Lease.Known && Askable && !Lease.Row.Released)
-    Answer.Giver = Lease.Row.Holder;
+    Answer.Allocator = Lease.Row.Holder;
   return Answer;
 }
 
@@ -182,10 +182,10 @@
   }
   // The request stays in the list until it is taken for lost, which paces the
   // next one; a hint makes that one go out at once to another instance.
-  if (Message.Giver.empty() || Message.Giver == Node.Self)
+  if (Message.Allocator.empty() || Message.Allocator == Node.Self)
     Node.Hints.erase(Message.Partition);
   else if (dropRequest(Node.Holder, Message))
-    Node.Hints[Message.Partition] = {Message.Giver, Now + HintTime};
+    Node.Hints[Message.Partition] = {Message.Allocator, Now + HintTime};
 }
 
 } // namespace
--- a/packages/control/src/sheet.cpp
+++ b/packages/control/src/sheet.cpp
@@ -27,14 +27,15 @@
 }
 
 /// The columns in the order of the header.
-struct column_places {
+struct column_order {
   std::vector<sheet_column> Columns;
 };
 
 /// Nothing when the header has faults.
-std::optional<column_places> placesOf(const csv_row &Header, faults &Faults) {
+std::optional<column_order> columnOrderOf(const csv_row &Header,
+                                          faults &Faults) {
   const std::size_t Before = Faults.size();
-  column_places Places;
+  column_order Order;
   for (const std::string &Cell : Header.Cells) {
     const auto Column = base::valueOf(ColumnNames, Cell);
     if (!Column)
@@ -42,45 +43,44 @@
                      Cell.find(';') == std::string::npos
                          ? "delete or rename the column"
                          : "export with commas between the cells");
-    else if (std::ranges::find(Places.Columns, *Column) != Places.Columns.end())
+    else if (std::ranges::find(Order.Columns, *Column) != Order.Columns.end())
       addHeaderFault(Faults, Cell, "stands twice", "delete one of the two");
     if (Column)
-      Places.Columns.push_back(*Column);
+      Order.Columns.push_back(*Column);
   }
   for (const auto &[Column, Name] : ColumnNames)
-    if (std::ranges::find(Places.Columns, Column) == Places.Columns.end())
+    if (std::ranges::find(Order.Columns, Column) == Order.Columns.end())
       addHeaderFault(Faults, Name, "is missing", "add the column");
-  if (!Places.Columns.empty() && Places.Columns.front() != sheet_column::Kind)
+  if (!Order.Columns.empty() && Order.Columns.front() != sheet_column::Kind)
     addHeaderFault(Faults, "kind", "is not the first column",
                    "move it to the front");
   if (Faults.size() != Before)
     return std::nullopt;
-  return Places;
+  return Order;
 }
 
-sheet_row rowOf(const csv_row &Csv, const column_places &Places,
-                faults &Faults) {
+sheet_row rowOf(const csv_row &Csv, const column_order &Order, faults &Faults) {
   sheet_row Row;
   Row.Number = Csv.Number;
-  const std::size_t Known = std::min(Csv.Cells.size(), Places.Columns.size());
+  const std::size_t Known = std::min(Csv.Cells.size(), Order.Columns.size());
   for (std::size_t Index = 0; Index < Known; ++Index)
-    Row.Cells[static_cast<std::size_t>(Places.Columns[Index])] =
+    Row.Cells[static_cast<std::size_t>(Order.Columns[Index])] =
         Csv.Cells[Index];
   const bool More = std::ranges::any_of(
       Csv.Cells.begin() + static_cast<std::ptrdiff_t>(Known), Csv.Cells.end(),
       [](const std::string &Cell) { return !Cell.empty(); });
   if (More)
     Faults.push_back({Csv.Number, "", "has more cells than the header",
-                      std::to_string(Places.Columns.size()) + " cells",
+                      std::to_string(Order.Columns.size()) + " cells",
                       "quote cells that hold a comma"});
   return Row;
 }
 
 template <typename Declared>
-std::vector<Declared> valuesOf(const std::vector<placed<Declared>> &Rows) {
+std::vector<Declared> valuesOf(const std::vector<parsed_row<Declared>> &Rows) {
   std::vector<Declared> Values;
   std::ranges::transform(Rows, std::back_inserter(Values),
-                         &placed<Declared>::Value);
+                         &parsed_row<Declared>::Value);
   return Values;
 }
 
@@ -103,31 +103,31 @@
   return Configuration;
 }
 
-sheet_reading faulty(faults Faults) {
+sheet_parse_result rejected(faults Faults) {
   std::ranges::stable_sort(Faults, {}, &sheet_fault::Row);
   return {std::nullopt, std::move(Faults)};
 }
 
 } // namespace
 
-sheet_reading readSheet(std::string_view Text) {
+sheet_parse_result parseSheet(std::string_view Text) {
   faults Faults;
   const std::vector<csv_row> Csv = readCsv(Text, Faults);
   if (Csv.empty()) {
     addHeaderFault(Faults, "", "the sheet is empty", "start with the header");
-    return faulty(std::move(Faults));
+    return rejected(std::move(Faults));
   }
-  const auto Places = placesOf(Csv.front(), Faults);
-  if (!Places)
-    return faulty(std::move(Faults));
+  const auto Order = columnOrderOf(Csv.front(), Faults);
+  if (!Order)
+    return rejected(std::move(Faults));
   std::vector<sheet_row> Rows;
   std::transform(
       std::next(Csv.begin()), Csv.end(), std::back_inserter(Rows),
-      [&](const csv_row &Row) { return rowOf(Row, *Places, Faults); });
+      [&](const csv_row &Row) { return rowOf(Row, *Order, Faults); });
   const sheet_content Content = contentOf(Rows, Faults);
   checkContent(Content, Faults);
   if (!Faults.empty())
-    return faulty(std::move(Faults));
+    return rejected(std::move(Faults));
   return {configurationOf(Content), {}};
 }
 
--- a/packages/control/src/sheet_cells.cpp
+++ b/packages/control/src/sheet_cells.cpp
@@ -11,7 +11,7 @@
 namespace redwinggw::control {
 namespace {
 
-constexpr std::size_t LongestName = 64;
+constexpr std::size_t MaxNameLength = 64;
 constexpr std::size_t DigestLength = 64;
 constexpr unsigned char FirstPrintable = 0x20;
 constexpr unsigned char Delete = 0x7F;
@@ -35,7 +35,7 @@
 }
 
 bool isName(const std::string &Text) {
-  return !Text.empty() && Text.size() <= LongestName && Text.front() != ' ' &&
+  return !Text.empty() && Text.size() <= MaxNameLength && Text.front() != ' ' &&
          Text.back() != ' ' && std::ranges::none_of(Text, isControl) &&
          isUtf8(Text);
 }
@@ -48,13 +48,13 @@
   Number Value{};
   const char *End = Cell.data() + Cell.size();
   const auto [Stop, Error] = std::from_chars(Cell.data(), End, Value);
-  const bool Inside = Range.Least <= Value && Value <= Range.Most;
+  const bool Inside = Range.Min <= Value && Value <= Range.Max;
   if (Error == std::errc() && Stop == End && Inside)
     return Value;
   std::ostringstream Allowed;
   Allowed << std::fixed;
   Allowed.precision(std::is_floating_point_v<Number> ? 3 : 0);
-  Allowed << What << " from " << Range.Least << " to " << Range.Most;
+  Allowed << What << " from " << Range.Min << " to " << Range.Max;
   addFault(Faults, Row, Column,
            Cell.empty() ? "is missing" : "'" + Cell + "' is not allowed",
            Allowed.str(),
--- a/packages/control/src/sheet_cells.hpp
+++ b/packages/control/src/sheet_cells.hpp
@@ -46,8 +46,8 @@
 
 /// Limits of a number in a cell, both included.
 template <typename Number> struct cell_range {
-  Number Least;
-  Number Most;
+  Number Min;
+  Number Max;
 };
 
 const std::string &cellOf(const sheet_row &Row, sheet_column Column);
--- a/packages/control/src/sheet_check.cpp
+++ b/packages/control/src/sheet_check.cpp
@@ -13,21 +13,22 @@
 using names = std::set<std::string, std::less<>>;
 
 template <typename Declared, typename Projection>
-names namesOf(const std::vector<placed<Declared>> &Rows, Projection Project) {
+names namesOf(const std::vector<parsed_row<Declared>> &Rows,
+              Projection Project) {
   names Names;
-  for (const placed<Declared> &Row : Rows)
+  for (const parsed_row<Declared> &Row : Rows)
     Names.insert(std::invoke(Project, Row.Value));
   return Names;
 }
 
 /// Reports each row whose \p Project value an earlier row has too.
 template <typename Declared, typename Projection>
-void checkUnique(const std::vector<placed<Declared>> &Rows, Projection Project,
-                 sheet_column Column, faults &Faults) {
+void checkUnique(const std::vector<parsed_row<Declared>> &Rows,
+                 Projection Project, sheet_column Column, faults &Faults) {
   using value =
       std::decay_t<std::invoke_result_t<Projection, const Declared &>>;
   std::map<value, std::size_t> First;
-  for (const placed<Declared> &Row : Rows) {
+  for (const parsed_row<Declared> &Row : Rows) {
     const auto [Seen, New] =
         First.emplace(std::invoke(Project, Row.Value), Row.Row->Number);
     if (!New)
@@ -39,11 +40,12 @@
 
 /// Reports each row whose \p Project value is not among \p Known.
 template <typename Declared, typename Projection>
-void checkKnown(const std::vector<placed<Declared>> &Rows, Projection Project,
-                const names &Known, const std::string &Kind, faults &Faults) {
+void checkKnown(const std::vector<parsed_row<Declared>> &Rows,
+                Projection Project, const names &Known, const std::string &Kind,
+                faults &Faults) {
   const std::string Allowed = "a " + Kind + " of this sheet";
   const std::string Remedy = "correct the name, or add the " + Kind;
-  for (const placed<Declared> &Row : Rows) {
+  for (const parsed_row<Declared> &Row : Rows) {
     const std::string &Name = std::invoke(Project, Row.Value);
     if (Name.empty() || Known.contains(Name))
       continue;
--- a/packages/control/src/sheet_rows.hpp
+++ b/packages/control/src/sheet_rows.hpp
@@ -7,18 +7,18 @@
 namespace redwinggw::control {
 
 /// Something declared, with the row that declares it.
-template <typename Declared> struct placed {
+template <typename Declared> struct parsed_row {
   Declared Value;
   const sheet_row *Row = nullptr;
 };
 
 struct sheet_content {
-  std::vector<placed<base::config_version>> MadeFrom;
-  std::vector<placed<customer>> Customers;
-  std::vector<placed<customer_key>> Keys;
-  std::vector<placed<service>> Services;
-  std::vector<placed<declared_read>> Reads;
-  std::vector<placed<endpoint>> Endpoints;
+  std::vector<parsed_row<base::config_version>> MadeFrom;
+  std::vector<parsed_row<customer>> Customers;
+  std::vector<parsed_row<customer_key>> Keys;
+  std::vector<parsed_row<service>> Services;
+  std::vector<parsed_row<declared_read>> Reads;
+  std::vector<parsed_row<endpoint>> Endpoints;
 };
 
 /// Reads the cells of \p Rows; \p Rows must outlive the content.
--- a/packages/redwinggw/src/instance.cpp
+++ b/packages/redwinggw/src/instance.cpp
@@ -64,7 +64,7 @@
   while (State->Life.state() == kernel::life_state::Serving) {
     co_await pause(State->Context.get_executor(), Pause);
     Pause = CleaningEvery;
-    if (State->Currency != control::currency::Isolated)
+    if (State->Currency != control::config_freshness::Isolated)
       co_await data::deleteExpiredRecords(State->Statements);
   }
 }
--- a/packages/redwinggw/src/instance_state.hpp
+++ b/packages/redwinggw/src/instance_state.hpp
@@ -41,7 +41,7 @@
   control::operator_server Operators;
   kernel::registry Registry;
   kernel::life_cycle Life;
-  control::currency Currency = control::currency::Isolated;
+  control::config_freshness Currency = control::config_freshness::Isolated;
   /// Instances among which the endpoints' connections are divided now.
   std::size_t SharedAmong = 0;
 };
@@ -59,7 +59,7 @@
 void collectMetrics(instance_state &State);
 
 /// Whether the configuration may be served, as of now.
-control::currency judgeCurrency(instance_state &State);
+control::config_freshness judgeCurrency(instance_state &State);
 
 /// Puts the groups suspected here into the next heartbeats.
 void tellSuspicions(instance_state &State);
--- a/packages/redwinggw/src/native_endpoints.cpp
+++ b/packages/redwinggw/src/native_endpoints.cpp
@@ -45,8 +45,8 @@
   const bool Unchanged = State.SentList == State.List && State.SentListAt &&
                          Now - *State.SentListAt < RelayAgain;
   if (Unchanged) {
-    State.Peers->sendReading({wire::reading_kind::EndpointsUnchanged, false,
-                              digestText(State.List)});
+    State.Peers->sendSharedRead({wire::shared_read_kind::EndpointsUnchanged,
+                                 false, digestText(State.List)});
     return;
   }
   const std::string Text = platform::writeReading(Rows);
@@ -56,7 +56,7 @@
                     {"limit", std::to_string(LongestReading)}});
     return;
   }
-  State.Peers->sendReading({wire::reading_kind::Endpoints, false, Text});
+  State.Peers->sendSharedRead({wire::shared_read_kind::Endpoints, false, Text});
   State.SentList = State.List;
   State.SentListAt = Now;
 }
@@ -78,8 +78,8 @@
 
 } // namespace
 
-void takeReading(native_state &State, const wire::store_reading &Reading) {
-  if (Reading.Kind == wire::reading_kind::EndpointsUnchanged) {
+void takeReading(native_state &State, const wire::shared_store_read &Reading) {
+  if (Reading.Kind == wire::shared_read_kind::EndpointsUnchanged) {
     if (State.ListAt && Reading.Text == digestText(State.List))
       takeEndpoints(State, std::vector(State.List), base::now());
     return;
--- a/packages/redwinggw/src/native_following.cpp
+++ b/packages/redwinggw/src/native_following.cpp
@@ -90,10 +90,10 @@
       State.Settings.Capacity};
   // An instance that has heard nothing for so long must not use a primary any
   // more; see handover_limits::ReadingCounts.
-  control::currency_limits Currency;
-  Currency.Bound = milliseconds(1000);
+  control::config_freshness_limits Currency;
+  Currency.MaxAge = milliseconds(1000);
   control::membership_limits Members;
-  Members.AcceptStrangers = true;
+  Members.AcceptUnlisted = true;
   State.Peers = std::make_unique<control::peer_service>(
       State.Context.get_executor(), Identity, State.Settings.Peers, Secret,
       State.Store, Members, Currency);
@@ -139,7 +139,7 @@
 bool hearsSomebody(const native_state &State) {
   const auto &View = State.Peers->view();
   return std::ranges::any_of(View.Members, [&](const control::member &Member) {
-    return isHeardDirectly(View, Member, base::now());
+    return isInDirectContact(View, Member, base::now());
   });
 }
 
@@ -153,7 +153,7 @@
   const auto Share = static_cast<std::int64_t>(1 + Members / FewInstances);
   const milliseconds Heard = Share * milliseconds(3000);
   constexpr milliseconds Unheard{400};
-  if (State.Peers->hearsMajority(base::now()))
+  if (State.Peers->inContactWithMajority(base::now()))
     return Heard;
   // A relay tells of the readings of others.
   const bool Relayed = usesRelays(State.Peers->view()) && hearsSomebody(State);
@@ -166,13 +166,14 @@
   constexpr milliseconds GoneAfter{8000};
   // Two entries of a call for each; the store takes a hundred.
   constexpr std::size_t MostAtOnce = 40;
-  if (!isReader(State) || !State.Peers->hearsMajority(base::now()))
+  if (!isReader(State) || !State.Peers->inContactWithMajority(base::now()))
     co_return;
   const base::instant Now = base::now();
   storage::commit_request Request;
   for (const control::member &Member : State.Peers->view().Members) {
     const auto Row = State.InstanceRows.find(Member.Name);
-    const bool Gone = Now - Member.ArrivedAt.value_or(Member.Since) > GoneAfter;
+    const bool Gone =
+        Now - Member.ArrivedAt.value_or(Member.ListedSince) > GoneAfter;
     if (!Gone || Row == State.InstanceRows.end() ||
         Request.Deletes.size() == MostAtOnce)
       continue;
--- a/packages/redwinggw/src/native_handover.cpp
+++ b/packages/redwinggw/src/native_handover.cpp
@@ -177,7 +177,7 @@
                                        instant Deadline) {
   session::move_acknowledgements Acknowledged;
   Acknowledged.ClaimedAt = base::now();
-  State.Peers->sendNow();
+  State.Peers->sendHeartbeatsNow();
   while (base::now() < Deadline && isCurrent(State, Claim)) {
     observeAcknowledgements(State, Claim, Acknowledged);
     if (mayPromote(Acknowledged, State.Handover, base::now()))
@@ -246,7 +246,7 @@
     platform::promotion_order Order{Claim.Service, Target, Claim.Orderer,
                                     Claim.Token};
     State.Ordering.insert(Claim.Service);
-    State.Peers->passOn(false);
+    State.Peers->setRelaysReports(false);
     const auto Outcome = co_await platform::orderPromotion(
         State.Promotions, std::move(Order), base::now() + OrderTime);
     State.Ordering.erase(Claim.Service);
@@ -282,7 +282,7 @@
   Claim.Primary = std::move(Target);
   Claim.Moving = false;
   takeClaim(State, Claim);
-  State.Peers->sendNow();
+  State.Peers->sendHeartbeatsNow();
   while (!State.Stopped) {
     const auto *Known = findClaim(State.Claims, Claim.Service);
     if (Known == nullptr || Known->Claim != Claim)
--- a/packages/redwinggw/src/native_news.cpp
+++ b/packages/redwinggw/src/native_news.cpp
@@ -21,7 +21,8 @@
 
 bool readsForOthers(const native_state &State, const control::member &Member,
                     instant Now) {
-  return isUp(Member) && readsStore(State.Peers->view(), Member, Now);
+  return isUp(Member) &&
+         hasRecentStoreContact(State.Peers->view(), Member, Now);
 }
 
 /// The agreements on primaries, and this instance's suspicions.
@@ -99,7 +100,7 @@
     Fleet.Demands = fleetDemands(State.Shares);
   }
   State.Peers->setDigests(std::move(Zone), std::move(Fleet));
-  State.Peers->passOn(passesOn(State));
+  State.Peers->setRelaysReports(passesOn(State));
 }
 
 void completeHeartbeat(native_state &State, wire::peer_report &Report) {
@@ -110,7 +111,7 @@
   const bool InTouch = isInTouch(State);
   divideRates(State.Shares, State.Peers->view(), InTouch, Now);
   gatherRates(State.Shares, State.Peers->view(), InTouch, Now);
-  Report.Gathers = hasGathered(State.Shares, Now);
+  Report.CentralizesBuckets = hasGathered(State.Shares, Now);
   Report.Groups = groupReports(State);
   Report.ConfigurationRow = State.Stored.Row;
   Report.NewestRow = std::max(State.Stored.Row, newestConfigurationRow(State));
@@ -151,7 +152,7 @@
     takeGroup(State, Report);
   takePositions(State, Member);
   if (Member.Report.HeadVersion > State.Claims.Version ||
-      State.Peers->view().ToldOfStrangers)
+      State.Peers->view().UnlistedReported)
     State.FleetReadWanted = true;
 }
 
@@ -161,20 +162,20 @@
   if (!State.Peers)
     return;
   State.Peers->setVersion(State.Claims.Version);
-  State.Peers->tellGroups(groupReports(State));
+  State.Peers->setAllGroupReports(groupReports(State));
 }
 
 void connectPeers(native_state &State) {
-  State.Peers->completeHeartbeats([&State](wire::peer_report &Report) {
+  State.Peers->setHeartbeatFiller([&State](wire::peer_report &Report) {
     completeHeartbeat(State, Report);
   });
   State.Peers->onReport(
       [&State](const control::member &Member) { takeReport(State, Member); });
-  State.Peers->onReading(
-      [&State](const control::member &, const wire::store_reading &Reading) {
-        takeReading(State, Reading);
-      });
-  State.Peers->onStranger([&State] { State.FleetReadWanted = true; });
+  State.Peers->onSharedRead([&State](const control::member &,
+                                     const wire::shared_store_read &Reading) {
+    takeReading(State, Reading);
+  });
+  State.Peers->onUnlistedInstance([&State] { State.FleetReadWanted = true; });
 }
 
 bool isReader(const native_state &State) {
--- a/packages/redwinggw/src/native_rights.cpp
+++ b/packages/redwinggw/src/native_rights.cpp
@@ -17,14 +17,15 @@
 bool isInTouch(native_state &State) {
   if (!State.Peers)
     return false;
-  const control::currency Now = State.Peers->judgeCurrency(base::now());
+  const control::config_freshness Now =
+      State.Peers->configFreshness(base::now());
   if (Now != State.Currency)
     base::logEvent(base::log_level::Info, base::log_part::Peers, "in_touch",
-                   {{"was", std::string(currencyName(State.Currency))},
-                    {"is", std::string(currencyName(Now))},
+                   {{"was", std::string(configFreshnessName(State.Currency))},
+                    {"is", std::string(configFreshnessName(Now))},
                     {"claims", std::to_string(State.Claims.Version)}});
   State.Currency = Now;
-  return Now != control::currency::Isolated;
+  return Now != control::config_freshness::Isolated;
 }
 
 void noteStore(native_state &State, bool Answered, std::string_view Reason) {
--- a/packages/redwinggw/src/native_state.hpp
+++ b/packages/redwinggw/src/native_state.hpp
@@ -92,7 +92,7 @@
   std::optional<base::instant> SentListAt;
   std::optional<base::instant> FleetReadAt;
   std::optional<base::instant> OutOfTouchSince;
-  control::currency Currency = control::currency::Isolated;
+  control::config_freshness Currency = control::config_freshness::Isolated;
   /// Whether the last call to the store was answered.
   bool StoreUp = true;
   bool FleetReadWanted = false;
@@ -190,7 +190,7 @@
 /// @}
 
 /// Takes in what another instance has read from the store.
-void takeReading(native_state &State, const wire::store_reading &Reading);
+void takeReading(native_state &State, const wire::shared_store_read &Reading);
 /// Reads the system's own rows and takes them in. Nothing when the store did
 /// not answer.
 base::task<std::optional<platform::table_rows>> readFleet(native_state &State);
--- a/packages/redwinggw/src/wiring.cpp
+++ b/packages/redwinggw/src/wiring.cpp
@@ -39,7 +39,7 @@
     // Judged for each request: a process that was paused may answer callers
     // before its own timers run, with keys that were withdrawn meanwhile.
     // Without a sheet there is nobody to serve.
-    return judgeCurrency(State) != control::currency::Isolated &&
+    return judgeCurrency(State) != control::config_freshness::Isolated &&
            State.Configuration.inForce().Version > 0;
   };
   Ports.Admit = [&State](base::customer_name Customer, base::instant Deadline) {
@@ -130,7 +130,9 @@
 control::configuration_ports configurationPorts(instance_state &State) {
   control::peer_service &Peers = State.Peers;
   control::configuration_ports Ports;
-  Ports.MayAccept = [&Peers] { return Peers.hearsMajority(base::now()); };
+  Ports.MayAccept = [&Peers] {
+    return Peers.inContactWithMajority(base::now());
+  };
   Ports.MajorityKnows = [&Peers](base::config_version Version) {
     return Peers.majorityKnows(Version);
   };
@@ -168,12 +170,12 @@
                 " is in force.");
 }
 
-control::currency judgeCurrency(instance_state &State) {
-  const control::currency Before = State.Currency;
-  State.Currency = State.Peers.judgeCurrency(base::now());
+control::config_freshness judgeCurrency(instance_state &State) {
+  const control::config_freshness Before = State.Currency;
+  State.Currency = State.Peers.configFreshness(base::now());
   if (State.Currency == Before)
     return State.Currency;
-  const std::string Name(control::currencyName(State.Currency));
+  const std::string Name(control::configFreshnessName(State.Currency));
   recordEvent(State, event_kind::ConfigurationStale, Name);
   base::log(base::log_level::Info, base::log_part::Configuration,
             "Currency is " + Name + ".");
--- a/packages/redwinggwctl/src/sheet_commands.cpp
+++ b/packages/redwinggwctl/src/sheet_commands.cpp
@@ -37,7 +37,7 @@
   auto Text = readFile(Context.Operands.front());
   if (!Text)
     return Text;
-  const auto Reading = control::readSheet(*Text);
+  const auto Reading = control::parseSheet(*Text);
   if (Reading.Faults.empty())
     return Text;
   const json::array Faults = faultsOf(Reading.Faults);
--- a/packages/wire/include/redwinggw/wire/fleet_digest.hpp
+++ b/packages/wire/include/redwinggw/wire/fleet_digest.hpp
@@ -11,18 +11,18 @@
 /// What is known of an instance beside its age; bits of relayed_member::Facts.
 enum class relayed_fact : std::uint8_t {
   /// It has read the store since its start.
-  Informed = 1,
+  ReadStoreSinceStart = 1,
   /// It knows the HeadVersion of the report that carries this.
   KnowsHead = 2,
   /// Its version in force is the one of that report or a later one.
   KnowsVersion = 4,
   /// It had an answer of the store lately.
-  ReadsStore = 8,
+  RecentStoreContact = 8,
   /// Its demand is part of the digest's sums.
   Counted = 16,
   Leaving = 32,
   /// It has gathered rates for a while.
-  Gathers = 64,
+  CentralizesBuckets = 64,
 };
 
 /// Another instance, as the sender knows it.
@@ -69,9 +69,9 @@
   std::uint32_t Customer = 0;
   /// Their demand when they were heard last.
   float Rate = 0;
-  float Part = 0;
-  /// What of Part is of instances that have been silent for long.
-  float Missed = 0;
+  float Reserved = 0;
+  /// What of Reserved is of instances that have been silent for long.
+  float LongSilent = 0;
 
   friend bool operator==(const silent_sum &, const silent_sum &) = default;
 };
@@ -79,8 +79,8 @@
 /// Sums over several instances. An instance that is in no list has no demand.
 struct demand_digest {
   /// How many instances the sums hold, and how many were never heard.
-  std::uint16_t Heard = 0;
-  std::uint16_t Unknown = 0;
+  std::uint16_t Contributors = 0;
+  std::uint16_t NeverSeen = 0;
   std::vector<demand_sum> Sums;
   std::vector<silent_sum> Silent;
 
--- a/packages/wire/include/redwinggw/wire/message.hpp
+++ b/packages/wire/include/redwinggw/wire/message.hpp
@@ -77,11 +77,11 @@
   /// Highest version that the sender or anybody it heard saw in the store.
   base::config_version HeadVersion = 0;
   /// At least so long ago HeadVersion was read as the head: never too young.
-  age_ms ProofAge = NoAge;
+  age_ms HeadReadAge = NoAge;
   /// At most so long ago the sender itself had an answer of the store, and one
   /// of those that told it so themselves: never too old.
   age_ms OwnContactAge = NoAge;
-  age_ms HeardContactAge = NoAge;
+  age_ms PeerContactAge = NoAge;
   /// The highest heartbeat that the sender had from the receiver.
   std::uint64_t EchoIncarnation = 0;
   std::uint64_t EchoSequence = 0;
@@ -91,9 +91,9 @@
   /// The receiver relays for the sender.
   bool Reports = false;
   /// The receiver shall pass readings of the store on to the sender.
-  bool WantsReadings = false;
+  bool WantsSharedReads = false;
   /// The sender has gathered rates for a while.
-  bool Gathers = false;
+  bool CentralizesBuckets = false;
   /// Only groups that are suspect or were moved.
   std::vector<group_report> Groups;
   /// Only in fleets too large for each to hear each directly.
@@ -107,7 +107,7 @@
 };
 
 /// The numbers travel: one that was used before is not given to another kind.
-enum class reading_kind : std::uint8_t {
+enum class shared_read_kind : std::uint8_t {
   Endpoints = 0,
   /// The endpoints' list is still the one whose digest is told.
   EndpointsUnchanged = 2,
@@ -115,8 +115,8 @@
 
 /// What one instance has read from the store for others, in the form in which
 /// the store keeps it.
-struct store_reading {
-  reading_kind Kind = reading_kind::Endpoints;
+struct shared_store_read {
+  shared_read_kind Kind = shared_read_kind::Endpoints;
   /// It has been passed on: the receiver keeps it for itself.
   bool Relayed = false;
   std::string Text;
@@ -153,7 +153,7 @@
   std::uint64_t Incarnation = 0;
   std::uint64_t Number = 0;
   /// Moved: who gives them, if the sender knows.
-  base::instance_name Giver;
+  base::instance_name Allocator;
   std::vector<share_entry> Entries;
 };
 
@@ -166,7 +166,7 @@
   /// Grows with each datagram of one incarnation.
   std::uint64_t Sequence = 0;
   clock_value Clock;
-  std::variant<peer_report, share_message, store_reading> Body;
+  std::variant<peer_report, share_message, shared_store_read> Body;
 };
 
 /// A short stand-in for an instance's name. The same on every machine.
--- a/packages/wire/include/redwinggw/wire/replay_window.hpp
+++ b/packages/wire/include/redwinggw/wire/replay_window.hpp
@@ -5,11 +5,11 @@
 /// Recognition of datagrams that were delayed, crossed or doubled.
 namespace redwinggw::wire {
 
-enum class freshness {
-  Newest,  ///< the highest sequence number so far
-  Crossed, ///< seen for the first time, after a higher one
-  Doubled, ///< seen before, or too old to tell
-  Former,  ///< of an incarnation that has ended
+enum class datagram_order {
+  Newest,            ///< the highest sequence number so far
+  Reordered,         ///< seen for the first time, after a higher one
+  Duplicate,         ///< seen before, or too old to tell
+  FormerIncarnation, ///< of an incarnation that has ended
 };
 
 /// The datagrams seen of one sender.
@@ -21,8 +21,8 @@
 };
 
 /// Notes a datagram and tells how fresh it is. Guards against the network's
-/// repeats and delays: only Newest and Crossed may have an effect.
-freshness note(replay_window &Window, std::uint64_t Incarnation,
-               std::uint64_t Sequence);
+/// repeats and delays: only Newest and Reordered may have an effect.
+datagram_order recordDatagram(replay_window &Window, std::uint64_t Incarnation,
+                              std::uint64_t Sequence);
 
 } // namespace redwinggw::wire
--- a/packages/wire/src/message.cpp
+++ b/packages/wire/src/message.cpp
@@ -17,14 +17,14 @@
 /// Strings and lists travel with a length of 1 or 2 bytes: cereal's own take
 /// 8, which is most of a small heartbeat.
 template <typename Archive>
-void transfer(Archive &Out, const std::string &Text) {
+void archiveText(Archive &Out, const std::string &Text) {
   const auto Length = static_cast<std::uint8_t>(std::min<std::size_t>(
       Text.size(), std::numeric_limits<std::uint8_t>::max()));
   Out(Length);
   Out(cereal::binary_data(Text.data(), Length));
 }
 
-template <typename Archive> void transfer(Archive &In, std::string &Text) {
+template <typename Archive> void archiveText(Archive &In, std::string &Text) {
   std::uint8_t Length = 0;
   In(Length);
   Text.resize(Length);
@@ -32,114 +32,114 @@
 }
 
 template <typename Archive, typename Item, typename Function>
-void transferAll(Archive &Out, const std::vector<Item> &Items,
-                 Function Transfer) {
+void archiveList(Archive &Out, const std::vector<Item> &Items,
+                 Function ArchiveItem) {
   const auto Length = static_cast<std::uint16_t>(Items.size());
   Out(Length);
   for (const Item &Each : Items)
-    Transfer(Each);
+    ArchiveItem(Each);
 }
 
 template <typename Archive, typename Item, typename Function>
-void transferAll(Archive &In, std::vector<Item> &Items, Function Transfer) {
+void archiveList(Archive &In, std::vector<Item> &Items, Function ArchiveItem) {
   std::uint16_t Length = 0;
   In(Length);
   for (std::uint16_t Index = 0; Index < Length; ++Index)
-    Transfer(Items.emplace_back());
+    ArchiveItem(Items.emplace_back());
 }
 
 template <typename Archive, typename Group>
-void transferGroup(Archive &Ar, Group &Report) {
-  transfer(Ar, Report.Group);
+void archiveGroup(Archive &Ar, Group &Report) {
+  archiveText(Ar, Report.Group);
   Ar(Report.Term);
-  transfer(Ar, Report.Primary);
+  archiveText(Ar, Report.Primary);
   Ar(Report.Suspect, Report.Moving);
-  transfer(Ar, Report.Orderer);
+  archiveText(Ar, Report.Orderer);
 }
 
-constexpr std::size_t MaxReading = 65'000;
+constexpr std::size_t MaxSharedRead = 65'000;
 
 template <typename Archive, typename Digest>
-void transferDemands(Archive &Ar, Digest &Value) {
-  Ar(Value.Heard, Value.Unknown);
-  transferAll(Ar, Value.Sums,
+void archiveDemands(Archive &Ar, Digest &Value) {
+  Ar(Value.Contributors, Value.NeverSeen);
+  archiveList(Ar, Value.Sums,
               [&](auto &Item) { Ar(Item.Customer, Item.Rate); });
-  transferAll(Ar, Value.Silent, [&](auto &Item) {
-    Ar(Item.Customer, Item.Rate, Item.Part, Item.Missed);
+  archiveList(Ar, Value.Silent, [&](auto &Item) {
+    Ar(Item.Customer, Item.Rate, Item.Reserved, Item.LongSilent);
   });
 }
 
 template <typename Archive, typename Digest>
-void transferDigest(Archive &Ar, Digest &Value) {
+void archiveDigest(Archive &Ar, Digest &Value) {
   Ar(Value.Scope);
   if (Value.Scope == digest_scope::None)
     return;
-  transferAll(Ar, Value.Members,
+  archiveList(Ar, Value.Members,
               [&](auto &Item) { Ar(Item.Instance, Item.Age, Item.Facts); });
-  transferDemands(Ar, Value.Demands);
-  transferAll(Ar, Value.Suspicions, [&](auto &Item) {
-    transfer(Ar, Item.Group);
-    transfer(Ar, Item.Primary);
+  archiveDemands(Ar, Value.Demands);
+  archiveList(Ar, Value.Suspicions, [&](auto &Item) {
+    archiveText(Ar, Item.Group);
+    archiveText(Ar, Item.Primary);
     Ar(Item.Count);
   });
 }
 
 template <typename Archive, typename Report>
-void transferReport(Archive &Ar, Report &Value) {
-  transfer(Ar, Value.Zone);
-  Ar(Value.Version, Value.StoreReadAge, Value.HeadVersion, Value.ProofAge,
-     Value.OwnContactAge, Value.HeardContactAge, Value.EchoIncarnation,
+void archiveReport(Archive &Ar, Report &Value) {
+  archiveText(Ar, Value.Zone);
+  Ar(Value.Version, Value.StoreReadAge, Value.HeadVersion, Value.HeadReadAge,
+     Value.OwnContactAge, Value.PeerContactAge, Value.EchoIncarnation,
      Value.EchoSequence, Value.Leaving, Value.WantsReply, Value.Reports,
-     Value.WantsReadings, Value.Gathers);
-  transferAll(Ar, Value.Groups, [&](auto &Item) { transferGroup(Ar, Item); });
-  transferDigest(Ar, Value.Digest);
+     Value.WantsSharedReads, Value.CentralizesBuckets);
+  archiveList(Ar, Value.Groups, [&](auto &Item) { archiveGroup(Ar, Item); });
+  archiveDigest(Ar, Value.Digest);
   Ar(Value.ConfigurationRow, Value.NewestRow);
-  transferAll(Ar, Value.Demands,
+  archiveList(Ar, Value.Demands,
               [&](auto &Item) { Ar(Item.Customer, Item.Rate, Item.Spare); });
-  transferAll(Ar, Value.Positions, [&](auto &Item) {
+  archiveList(Ar, Value.Positions, [&](auto &Item) {
     Ar(Item.Group, Item.Term, Item.Position, Item.Age);
   });
 }
 
 template <typename Archive>
-void transferReading(Archive &Out, const store_reading &Value) {
+void archiveSharedRead(Archive &Out, const shared_store_read &Value) {
   const auto Length = static_cast<std::uint32_t>(Value.Text.size());
   Out(Value.Kind, Value.Relayed, Length);
   Out(cereal::binary_data(Value.Text.data(), Length));
 }
 
 template <typename Archive>
-void transferReading(Archive &In, store_reading &Value) {
+void archiveSharedRead(Archive &In, shared_store_read &Value) {
   std::uint32_t Length = 0;
   In(Value.Kind, Value.Relayed, Length);
   // A length beyond what a datagram can hold comes from a damaged one.
-  if (Length > MaxReading)
+  if (Length > MaxSharedRead)
     throw cereal::Exception("a reading is too long");
   Value.Text.resize(Length);
   In(cereal::binary_data(Value.Text.data(), Length));
 }
 
 template <typename Archive, typename Message>
-void transferShare(Archive &Ar, Message &Value) {
+void archiveShareMessage(Archive &Ar, Message &Value) {
   Ar(Value.Kind, Value.Partition, Value.Incarnation, Value.Number);
-  transfer(Ar, Value.Giver);
-  transferAll(Ar, Value.Entries, [&](auto &Item) {
-    transfer(Ar, Item.Customer);
+  archiveText(Ar, Value.Allocator);
+  archiveList(Ar, Value.Entries, [&](auto &Item) {
+    archiveText(Ar, Item.Customer);
     Ar(Item.Tokens, Item.WaitUs, Item.TtlUs, Item.Priority);
   });
 }
 
 template <typename Archive, typename Datagram>
-void transferDatagram(Archive &Ar, Datagram &Value) {
-  transfer(Ar, Value.Sender);
-  transfer(Ar, Value.Receiver);
+void archiveDatagram(Archive &Ar, Datagram &Value) {
+  archiveText(Ar, Value.Sender);
+  archiveText(Ar, Value.Receiver);
   Ar(Value.Incarnation, Value.Sequence, Value.Clock.Wall, Value.Clock.Count);
   if (auto *Report = std::get_if<peer_report>(&Value.Body))
-    transferReport(Ar, *Report);
-  else if (auto *Reading = std::get_if<store_reading>(&Value.Body))
-    transferReading(Ar, *Reading);
+    archiveReport(Ar, *Report);
+  else if (auto *Read = std::get_if<shared_store_read>(&Value.Body))
+    archiveSharedRead(Ar, *Read);
   else
-    transferShare(Ar, std::get<share_message>(Value.Body));
+    archiveShareMessage(Ar, std::get<share_message>(Value.Body));
 }
 
 datagram readPayload(std::string_view Payload) {
@@ -153,12 +153,12 @@
   datagram Datagram;
   // The place of the body's type in the variant.
   constexpr std::uint8_t ShareKind = 1;
-  constexpr std::uint8_t ReadingKind = 2;
+  constexpr std::uint8_t SharedReadKind = 2;
   if (Kind == ShareKind)
     Datagram.Body = share_message{};
-  if (Kind == ReadingKind)
-    Datagram.Body = store_reading{};
-  transferDatagram(In, Datagram);
+  if (Kind == SharedReadKind)
+    Datagram.Body = shared_store_read{};
+  archiveDatagram(In, Datagram);
   return Datagram;
 }
 
@@ -180,7 +180,7 @@
   cereal::BinaryOutputArchive Out(Stream);
   const auto Kind = static_cast<std::uint8_t>(Datagram.Body.index());
   Out(FormatVersion, Kind);
-  transferDatagram(Out, Datagram);
+  archiveDatagram(Out, Datagram);
   return sign(FleetKey, std::move(Stream).str());
 }
 
--- a/packages/wire/src/replay_window.cpp
+++ b/packages/wire/src/replay_window.cpp
@@ -7,24 +7,24 @@
 
 } // namespace
 
-freshness note(replay_window &Window, std::uint64_t Incarnation,
-               std::uint64_t Sequence) {
+datagram_order recordDatagram(replay_window &Window, std::uint64_t Incarnation,
+                              std::uint64_t Sequence) {
   if (Incarnation < Window.Incarnation)
-    return freshness::Former;
+    return datagram_order::FormerIncarnation;
   if (Incarnation > Window.Incarnation)
     Window = {Incarnation, 0, 0};
   if (Sequence > Window.Highest) {
     const std::uint64_t Shift = Sequence - Window.Highest;
     Window.Seen = Shift < WindowBits ? (Window.Seen << Shift) | 1 : 1;
     Window.Highest = Sequence;
-    return freshness::Newest;
+    return datagram_order::Newest;
   }
   const std::uint64_t Back = Window.Highest - Sequence;
   const std::uint64_t Bit = Back < WindowBits ? std::uint64_t{1} << Back : 0;
   if (Bit == 0 || (Window.Seen & Bit) != 0)
-    return freshness::Doubled;
+    return datagram_order::Duplicate;
   Window.Seen |= Bit;
-  return freshness::Crossed;
+  return datagram_order::Reordered;
 }
 
 } // namespace redwinggw::wire
--- a/tests/bench/config_bench.cpp
+++ b/tests/bench/config_bench.cpp
@@ -104,7 +104,7 @@
   State.Head = {1, "id", 1};
   State.Sheets = {Stored};
   const config_request Gift =
-      key_gift{{"new", "customer-0", std::string(64, 'f')}};
+      key_addition{{"new", "customer-0", std::string(64, 'f')}};
   const double Change =
       medianOf([&] { planSubmission(State, Gift, "other", 0); });
   if (!InForce.Configuration)
--- a/tests/bench/peers_bench.cpp
+++ b/tests/bench/peers_bench.cpp
@@ -134,7 +134,7 @@
     onRows(Node.Shares, Rows, Fleet.Now);
   }
   for (share_send &Send : Actions.Sends) {
-    wire::datagram Datagram = stamp(Node.Membership, Send.To, Fleet.Now);
+    wire::datagram Datagram = nextDatagram(Node.Membership, Send.To, Fleet.Now);
     Datagram.Body = std::move(Send.Message);
     deliver(Fleet, Datagram);
   }
@@ -152,7 +152,7 @@
   const membership &View = Fleet.Nodes.front().Membership;
   const auto Heard =
       std::ranges::count_if(View.Members, [&](const member &Member) {
-        return isHeard(View, Member, Fleet.Now);
+        return isInContact(View, Member, Fleet.Now);
       });
   return static_cast<double>(Heard) / static_cast<double>(View.Members.size());
 }
--- a/tests/control/currency_test.cpp
+++ b/tests/control/config_freshness_test.cpp
@@ -31,84 +31,92 @@
 
 } // namespace
 
-Test(currency, an_instance_that_reads_the_store_is_current) {
+Test(config_freshness, an_instance_that_reads_the_store_is_current) {
   fleet Fleet = makeFleet(5);
-  cr_assert(judgeAfter(Fleet, 0, Settle) == currency::Current);
+  cr_assert(evaluateAfter(Fleet, 0, Settle) == config_freshness::Current);
 }
 
-Test(currency, an_instance_cut_from_the_store_only_is_current_through_a_peer) {
+Test(config_freshness,
+     an_instance_cut_from_the_store_only_is_current_through_a_peer) {
   fleet Fleet = makeFleet(5);
   run(Fleet, Settle);
   Fleet.Instances[0].SeesStore = false;
-  cr_assert(judgeAfter(Fleet, 0, milliseconds(10000)) == currency::Current);
+  cr_assert(evaluateAfter(Fleet, 0, milliseconds(10000)) ==
+            config_freshness::Current);
 }
 
 // One instance loses the store, a key is withdrawn, and the relay of the new
 // version to that instance fails. Its callers would go on with the key: it
 // learns of the new head from its peers and must stop.
-Test(currency, an_instance_behind_a_head_that_peers_saw_stops) {
+Test(config_freshness, an_instance_behind_a_head_that_peers_saw_stops) {
   fleet Fleet = makeFleet(5);
   run(Fleet, Settle);
   Fleet.Instances[0].SeesStore = false;
   Fleet.Head = 2;
-  cr_assert(judgeAfter(Fleet, 0, Total) == currency::Isolated);
+  cr_assert(evaluateAfter(Fleet, 0, Total) == config_freshness::Isolated);
 }
 
-Test(currency, an_instance_cut_from_everything_stops) {
+Test(config_freshness, an_instance_cut_from_everything_stops) {
   fleet Fleet = makeFleet(5);
   run(Fleet, Settle);
   Fleet.Instances[0].SeesStore = false;
   Fleet.Connected = apart(0);
-  cr_assert(judgeAfter(Fleet, 0, Total) == currency::Isolated);
+  cr_assert(evaluateAfter(Fleet, 0, Total) == config_freshness::Isolated);
 }
 
-Test(currency, all_go_on_while_the_store_is_down_for_all) {
+Test(config_freshness, all_go_on_while_the_store_is_down_for_all) {
   fleet Fleet = makeFleet(5);
   run(Fleet, Settle);
   storeDownForAll(Fleet);
-  cr_assert(judgeAfter(Fleet, 0, milliseconds(60000)) == currency::Outage);
+  cr_assert(evaluateAfter(Fleet, 0, milliseconds(60000)) ==
+            config_freshness::Outage);
 }
 
-Test(currency, the_rest_goes_on_when_an_instance_dies_during_an_outage) {
+Test(config_freshness,
+     the_rest_goes_on_when_an_instance_dies_during_an_outage) {
   fleet Fleet = makeFleet(5);
   run(Fleet, Settle);
   storeDownForAll(Fleet);
   run(Fleet, milliseconds(5000));
   Fleet.Instances[4].Up = false;
-  cr_assert(judgeAfter(Fleet, 0, milliseconds(10000)) == currency::Outage);
+  cr_assert(evaluateAfter(Fleet, 0, milliseconds(10000)) ==
+            config_freshness::Outage);
 }
 
 // The network splits 3 to 2 and the store comes back for the side of 3 only.
 // A withdrawal is accepted there. The side of 2 hears nothing of it and must
 // have stopped; with the guard off it serves on.
-Test(currency, a_minority_stops_when_the_store_is_back_for_the_majority) {
+Test(config_freshness,
+     a_minority_stops_when_the_store_is_back_for_the_majority) {
   for (const bool Guarded : {true, false}) {
-    currency_limits Limits;
-    Limits.NeedMajority = Guarded;
+    config_freshness_limits Limits;
+    Limits.RequireMajority = Guarded;
     fleet Fleet = makeFleet(5, {}, Limits);
     run(Fleet, Settle);
     storeDownForAll(Fleet);
-    judgeAfter(Fleet, 4, milliseconds(5000));
+    evaluateAfter(Fleet, 4, milliseconds(5000));
     Fleet.Connected = split(3);
     for (std::size_t Index = 0; Index < 3; ++Index)
       Fleet.Instances[Index].SeesStore = true;
     Fleet.Head = 2;
-    const currency Expected = Guarded ? currency::Isolated : currency::Outage;
-    cr_assert(judgeAfter(Fleet, 4, Total) == Expected);
+    const config_freshness Expected =
+        Guarded ? config_freshness::Isolated : config_freshness::Outage;
+    cr_assert(evaluateAfter(Fleet, 4, Total) == Expected);
     cr_assert(majorityKnows(Fleet.Instances[0].Membership, 2));
   }
 }
 
 // The same split, but the store comes back for the side of 2. What is
 // accepted there is never confirmed, so the majority may go on.
-Test(currency, a_minority_that_sees_the_store_cannot_confirm) {
+Test(config_freshness, a_minority_that_sees_the_store_cannot_confirm) {
   fleet Fleet = makeFleet(5);
   run(Fleet, Settle);
   storeDownForAll(Fleet);
   Fleet.Connected = split(3);
   Fleet.Instances[4].SeesStore = true;
   Fleet.Head = 2;
-  cr_assert(judgeAfter(Fleet, 0, milliseconds(5000)) == currency::Outage);
+  cr_assert(evaluateAfter(Fleet, 0, milliseconds(5000)) ==
+            config_freshness::Outage);
   cr_assert(!majorityKnows(Fleet.Instances[4].Membership, 2));
 }
 
@@ -116,13 +124,13 @@
 // store goes down for all and 4 is back. It hears a majority and nobody reads
 // the store, yet its version was replaced: it must not take this for an
 // outage without changes.
-Test(currency, an_outage_right_after_an_acceptance_does_not_hide_it) {
+Test(config_freshness, an_outage_right_after_an_acceptance_does_not_hide_it) {
   for (const bool Guarded : {true, false}) {
-    currency_limits Limits;
-    Limits.HeedHigherHead = Guarded;
+    config_freshness_limits Limits;
+    Limits.StopOnHigherHead = Guarded;
     fleet Fleet = makeFleet(5, {}, Limits);
     run(Fleet, Settle);
-    judgeAt(Fleet, 4);
+    evaluateAt(Fleet, 4);
     Fleet.Instances[4].SeesStore = false;
     Fleet.Connected = apart(4);
     Fleet.Head = 2;
@@ -130,9 +138,10 @@
     cr_assert(majorityKnows(Fleet.Instances[0].Membership, 2));
     storeDownForAll(Fleet);
     Fleet.Connected = [](std::size_t, std::size_t) { return true; };
-    const currency Expected = Guarded ? currency::Isolated : currency::Outage;
-    cr_assert(judgeAfter(Fleet, 4, Total) == Expected);
-    cr_assert(judgeAt(Fleet, 0) == currency::Outage);
+    const config_freshness Expected =
+        Guarded ? config_freshness::Isolated : config_freshness::Outage;
+    cr_assert(evaluateAfter(Fleet, 4, Total) == Expected);
+    cr_assert(evaluateAt(Fleet, 0) == config_freshness::Outage);
   }
 }
 
@@ -140,13 +149,13 @@
 // instances that start during the outage and know nothing. Instance 4 missed
 // the withdrawal. If the new ones counted as heard, it would hear a majority
 // that knows no higher head and serve on.
-Test(currency, instances_that_never_read_the_store_give_no_majority) {
+Test(config_freshness, instances_that_never_read_the_store_give_no_majority) {
   for (const bool Guarded : {true, false}) {
     membership_limits Limits;
-    Limits.OnlyInformedCount = Guarded;
+    Limits.RequireStoreReadSinceStart = Guarded;
     fleet Fleet = makeFleet(5, Limits);
     run(Fleet, Settle);
-    judgeAt(Fleet, 4);
+    evaluateAt(Fleet, 4);
     Fleet.Instances[3].Up = false;
     Fleet.Instances[4].SeesStore = false;
     Fleet.Connected = apart(4);
@@ -160,16 +169,17 @@
       Fleet.Instances[Index].SeesStore = false;
     }
     Fleet.Connected = [](std::size_t, std::size_t) { return true; };
-    const currency Expected = Guarded ? currency::Isolated : currency::Outage;
-    cr_assert(judgeAfter(Fleet, 4, Total) == Expected);
-    cr_assert(judgeAt(Fleet, 0) == currency::Isolated);
+    const config_freshness Expected =
+        Guarded ? config_freshness::Isolated : config_freshness::Outage;
+    cr_assert(evaluateAfter(Fleet, 4, Total) == Expected);
+    cr_assert(evaluateAt(Fleet, 0) == config_freshness::Isolated);
   }
 }
 
 // An instance is stopped by a signal for 10 s. When it wakes, the heartbeats
 // of that time wait in its socket. Taken for fresh, they show a majority and
 // a proof that are 10 s old, and a withdrawn key works again.
-Test(currency, heartbeats_that_waited_through_a_pause_prove_nothing) {
+Test(config_freshness, heartbeats_that_waited_through_a_pause_prove_nothing) {
   for (const bool Guarded : {true, false}) {
     membership_limits Limits;
     Limits.AgeByEcho = Guarded;
@@ -184,8 +194,9 @@
           [](const peer_send &Send) { return Send.Datagram.Receiver == "i0"; });
     Fleet.Now += milliseconds(10000);
     deliver(Fleet, Waiting);
-    const currency Expected = Guarded ? currency::Isolated : currency::Current;
-    cr_assert(judgeAt(Fleet, 0) == Expected);
+    const config_freshness Expected =
+        Guarded ? config_freshness::Isolated : config_freshness::Current;
+    cr_assert(evaluateAt(Fleet, 0) == Expected);
   }
 }
 
@@ -193,20 +204,21 @@
 // then the network splits and the store is back for the larger side only.
 // Relayed signs that looked younger than they are would let the smaller side
 // serve on after a withdrawal.
-Test(currency, a_minority_of_a_large_fleet_stops_too) {
+Test(config_freshness, a_minority_of_a_large_fleet_stops_too) {
   constexpr std::size_t Count = 40;
   constexpr std::size_t Larger = 25;
   fleet Fleet = makeFleet(Count);
   run(Fleet, milliseconds(6000));
-  judgeAt(Fleet, Count - 1);
+  evaluateAt(Fleet, Count - 1);
   storeDownForAll(Fleet);
-  cr_assert(judgeAfter(Fleet, Count - 1, milliseconds(8000)) ==
-            currency::Outage);
+  cr_assert(evaluateAfter(Fleet, Count - 1, milliseconds(8000)) ==
+            config_freshness::Outage);
   Fleet.Connected = split(Larger);
   for (std::size_t Index = 0; Index < Larger; ++Index)
     Fleet.Instances[Index].SeesStore = true;
   Fleet.Head = 2;
-  cr_assert(judgeAfter(Fleet, Count - 1, Total) == currency::Isolated);
+  cr_assert(evaluateAfter(Fleet, Count - 1, Total) ==
+            config_freshness::Isolated);
   run(Fleet, milliseconds(3000));
   cr_assert(majorityKnows(Fleet.Instances[0].Membership, 2));
 }
--- a/tests/control/config_service_test.cpp
+++ b/tests/control/config_service_test.cpp
@@ -72,7 +72,7 @@
   Fleet.Cut = store_cut::None;
   const auto Again = co_await Fleet.Right->submit(First);
   cr_assert(Again->Version == 1);
-  cr_assert(Again->Already);
+  cr_assert(Again->AlreadyAccepted);
 }
 
 } // namespace
--- a/tests/control/config_submission_test.cpp
+++ b/tests/control/config_submission_test.cpp
@@ -219,10 +219,10 @@
 Test(config_submission, racing_key_changes_both_take_effect) {
   race Race;
   submitSheet(Race.Table, withCustomers(0, {"a"}), "first");
-  submission Gift(key_gift{{"old", "a", std::string(64, '1')}}, "gift");
-  finish(Race.Table, Gift);
+  submission Addition(key_addition{{"old", "a", std::string(64, '1')}}, "gift");
+  finish(Race.Table, Addition);
   Race.Racers.emplace_back(key_withdrawal{"old"}, "withdrawal");
-  Race.Racers.emplace_back(key_gift{{"new", "a", std::string(64, '2')}},
+  Race.Racers.emplace_back(key_addition{{"new", "a", std::string(64, '2')}},
                            "second gift");
   explore(Race, [](race End) {
     cr_assert(End.Accepts == 2);
@@ -242,7 +242,7 @@
   const auto *Accepted = std::get_if<config_accepted>(&Action);
   cr_assert(Accepted != nullptr);
   cr_assert(Accepted->Version == 1);
-  cr_assert(Accepted->Already);
+  cr_assert(Accepted->AlreadyAccepted);
 }
 
 Test(config_submission, a_refusal_names_what_changed_since) {
@@ -254,9 +254,9 @@
   cr_assert(Refused != nullptr);
   cr_assert(kindOf(Refused->Failure) == base::errc::Conflict);
   const std::vector<config_change> Expected{
-      {config_part::Customer, "a", change_kind::Removed},
-      {config_part::Customer, "c", change_kind::Added}};
-  cr_assert(Refused->Since == Expected);
+      {config_row_kind::Customer, "a", change_kind::Removed},
+      {config_row_kind::Customer, "c", change_kind::Added}};
+  cr_assert(Refused->ChangesSince == Expected);
   cr_assert(Refused->Failure.Detail.find("customer a removed") !=
             std::string::npos);
 }
@@ -266,7 +266,8 @@
   submitSheet(Table, withCustomers(0, {"a"}), "first");
   const std::vector<std::pair<config_request, base::errc>> Cases{
       {withCustomers(9, {"a"}), base::errc::BadSheet},
-      {key_gift{{"k", "nobody", std::string(64, '1')}}, base::errc::NotFound},
+      {key_addition{{"k", "nobody", std::string(64, '1')}},
+       base::errc::NotFound},
       {key_withdrawal{"k"}, base::errc::NotFound},
   };
   for (const auto &[Request, Kind] : Cases) {
@@ -279,9 +280,10 @@
 Test(config_submission, giving_up_says_whether_anything_may_have_changed) {
   table Table;
   submission Submission(withCustomers(0, {"a"}), "id");
-  cr_assert(kindOf(onGivenUp(Submission)) == base::errc::StoreUnreachable);
+  cr_assert(kindOf(failureOnTimeout(Submission)) ==
+            base::errc::StoreUnreachable);
   onState(Submission, stateFor(Table, Submission), 0);
-  cr_assert(kindOf(onGivenUp(Submission)) == base::errc::OutcomeUnknown);
+  cr_assert(kindOf(failureOnTimeout(Submission)) == base::errc::OutcomeUnknown);
 }
 
 Test(config_submission, old_sheets_leave_the_store) {
--- a/tests/control/demand_fleet.hpp
+++ b/tests/control/demand_fleet.hpp
@@ -71,11 +71,14 @@
         deliver(Send, Index);
       if (Ticks % 4 == 0) {
         divideRates(Shares[Index], Members[Index],
-                    StoreReached || hearsMajority(Members[Index], Now), Now);
+                    StoreReached || inContactWithMajority(Members[Index], Now),
+                    Now);
         if (Gathers)
-          gatherRates(Shares[Index], Members[Index],
-                      StoreReached || hearsMajority(Members[Index], Now), Now);
-        Members[Index].Local.Gathers = hasGathered(Shares[Index], Now);
+          gatherRates(
+              Shares[Index], Members[Index],
+              StoreReached || inContactWithMajority(Members[Index], Now), Now);
+        Members[Index].Local.CentralizesBuckets =
+            hasGathered(Shares[Index], Now);
         Members[Index].ZoneDigest.Demands = zoneDemands(Shares[Index]);
         Members[Index].FleetDigest.Demands = fleetDemands(Shares[Index]);
       }
--- a/tests/control/gathered_rates_test.cpp
+++ b/tests/control/gathered_rates_test.cpp
@@ -86,7 +86,7 @@
   Fleet.Spent = Spent;
   for (std::size_t Index = 0; Index < Count; ++Index)
     for (member &Member : Fleet.Members[Index].Members)
-      Member.Since = Now;
+      Member.ListedSince = Now;
   Fleet.Now = Now;
 }
 
--- a/tests/control/membership_fleet.hpp
+++ b/tests/control/membership_fleet.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "redwinggw/control/currency.hpp"
+#include "redwinggw/control/config_freshness.hpp"
 #include "redwinggw/control/membership.hpp"
 
 #include <algorithm>
@@ -19,7 +19,7 @@
 
 struct fleet_instance {
   membership Membership;
-  currency_state Currency;
+  config_freshness_state Freshness;
   base::config_version Version = 1;
   bool Up = true;
   bool SeesStore = true;
@@ -52,7 +52,7 @@
 }
 
 inline fleet makeFleet(std::size_t Count, membership_limits Limits = {},
-                       currency_limits Currency = {}) {
+                       config_freshness_limits Freshness = {}) {
   fleet Fleet;
   std::vector<storage::listed_instance> List;
   std::ranges::transform(std::views::iota(std::size_t{0}, Count),
@@ -60,7 +60,7 @@
   for (const storage::listed_instance &Self : List) {
     fleet_instance &Instance = Fleet.Instances.emplace_back();
     Instance.Membership = makeMembership({Self.Name, Self.Zone, 100}, Limits);
-    Instance.Currency.Limits = Currency;
+    Instance.Freshness.Limits = Freshness;
     onList(Instance.Membership, List, Fleet.Now);
   }
   return Fleet;
@@ -101,19 +101,20 @@
   }
 }
 
-inline currency judgeAt(fleet &Fleet, std::size_t Index) {
+inline config_freshness evaluateAt(fleet &Fleet, std::size_t Index) {
   fleet_instance &Instance = Fleet.Instances[Index];
-  return judge(Instance.Currency, Instance.Membership, Instance.Version,
-               Fleet.Now);
+  return evaluateConfigFreshness(Instance.Freshness, Instance.Membership,
+                                 Instance.Version, Fleet.Now);
 }
 
 /// Runs on and judges every 50 ms, as the shell does.
-inline currency judgeAfter(fleet &Fleet, std::size_t Index, milliseconds Time) {
+inline config_freshness evaluateAfter(fleet &Fleet, std::size_t Index,
+                                      milliseconds Time) {
   constexpr milliseconds Step{50};
-  currency Last = judgeAt(Fleet, Index);
+  config_freshness Last = evaluateAt(Fleet, Index);
   for (milliseconds Past{0}; Past < Time; Past += Step) {
     run(Fleet, Step);
-    Last = judgeAt(Fleet, Index);
+    Last = evaluateAt(Fleet, Index);
   }
   return Last;
 }
--- a/tests/control/membership_test.cpp
+++ b/tests/control/membership_test.cpp
@@ -18,7 +18,7 @@
   const membership &Membership = Fleet.Instances[By].Membership;
   return static_cast<std::size_t>(
       std::ranges::count_if(Membership.Members, [&](const member &Member) {
-        return isHeard(Membership, Member, Fleet.Now);
+        return isInContact(Membership, Member, Fleet.Now);
       }));
 }
 
@@ -34,7 +34,7 @@
   cr_assert(stateSeen(Fleet, 0, 2) == member_state::Suspect);
   run(Fleet, milliseconds(2000));
   cr_assert(stateSeen(Fleet, 0, 2) == member_state::Dead);
-  cr_assert(hearsMajority(Fleet.Instances[0].Membership, Fleet.Now));
+  cr_assert(inContactWithMajority(Fleet.Instances[0].Membership, Fleet.Now));
   onList(Fleet.Instances[0].Membership, {listed(0), listed(1)}, Fleet.Now);
   cr_assert(findMember(Fleet.Instances[0].Membership, "i2") == nullptr);
 }
@@ -56,7 +56,7 @@
   Fleet.Connected = [](std::size_t From, std::size_t) { return From == 1; };
   run(Fleet, milliseconds(2000));
   cr_assert(heardBy(Fleet, 0) == 0);
-  cr_assert(!hearsMajority(Fleet.Instances[0].Membership, Fleet.Now));
+  cr_assert(!inContactWithMajority(Fleet.Instances[0].Membership, Fleet.Now));
 }
 
 // An instance starts again after its wall clock stepped back, so its
@@ -91,7 +91,8 @@
   onHeartbeat(Receiver, First, Fleet.Now);
   cr_assert(!admitDatagram(Receiver, Old.at(1).Datagram));
   cr_assert(Receiver.Counters.Heartbeats == Before);
-  cr_assert(Receiver.Counters.Doubled == 1 && Receiver.Counters.Crossed == 1);
+  cr_assert(Receiver.Counters.Duplicate == 1 &&
+            Receiver.Counters.Reordered == 1);
   cr_assert(Receiver.Counters.Misaddressed == 1);
 }
 
@@ -101,7 +102,8 @@
   run(Fleet, milliseconds(3000));
   for (std::size_t Index = 0; Index < 64; ++Index) {
     cr_assert(heardBy(Fleet, Index) == 63);
-    cr_assert(hearsMajority(Fleet.Instances[Index].Membership, Fleet.Now));
+    cr_assert(
+        inContactWithMajority(Fleet.Instances[Index].Membership, Fleet.Now));
   }
   Fleet.Instances[9].Up = false;
   run(Fleet, milliseconds(4000));
@@ -118,7 +120,7 @@
   fleet Fleet = makeFleet(3);
   for (const std::size_t Index : {0, 1}) {
     membership &Membership = Fleet.Instances[Index].Membership;
-    Membership.Limits.AcceptStrangers = true;
+    Membership.Limits.AcceptUnlisted = true;
     onList(Membership, {listed(0), listed(1)}, Fleet.Now);
   }
   membership &Newcomer = Fleet.Instances[2].Membership;
@@ -126,7 +128,7 @@
   const auto Sends = onTick(Newcomer, Fleet.Now + milliseconds(500));
   const wire::datagram Hello = Sends.front().Datagram;
   cr_assert(Hello.Receiver == "i0");
-  onStranger(Known, Hello, {"127.0.0.1", 7}, Fleet.Now);
+  onUnlistedInstance(Known, Hello, {"127.0.0.1", 7}, Fleet.Now);
   const member *Added = findMember(Known, "i2");
   cr_assert(Added != nullptr && Added->Address.Port == 7);
   cr_assert(admitDatagram(Known, Hello));
--- a/tests/control/peer_service_test.cpp
+++ b/tests/control/peer_service_test.cpp
@@ -126,7 +126,8 @@
 }
 
 bool isCurrent(const instance &Instance) {
-  return Instance.Peers->judgeCurrency(base::now()) == currency::Current;
+  return Instance.Peers->configFreshness(base::now()) ==
+         config_freshness::Current;
 }
 
 struct tally {
@@ -197,7 +198,7 @@
   Socket.send_to(asio::buffer("not one of ours"),
                  {asio::ip::make_address(Address.Host), Address.Port});
   const membership &View = Fleet->Instances[0].Peers->view();
-  cr_assert(runUntil(*Fleet, [&] { return View.Counters.Foreign == 1; }));
+  cr_assert(runUntil(*Fleet, [&] { return View.Counters.UnknownSender == 1; }));
   stopFleet(*Fleet);
 }
 
--- a/tests/control/relays_test.cpp
+++ b/tests/control/relays_test.cpp
@@ -55,7 +55,7 @@
                std::ranges::all_of(
                    Membership.Members, [&](const member &Member) {
                      return !Fleet.Instances[indexOf(Member.Name)].Up ||
-                            isHeard(Membership, Member, Fleet.Now);
+                            isInContact(Membership, Member, Fleet.Now);
                    });
       });
 }
@@ -108,7 +108,8 @@
   cr_assert(relaysOf(Fleet).size() == 4);
   cr_assert(allHearAll(Fleet));
   for (const fleet_instance &Instance : Fleet.Instances)
-    cr_assert(!Instance.Up || hearsMajority(Instance.Membership, Fleet.Now));
+    cr_assert(!Instance.Up ||
+              inContactWithMajority(Instance.Membership, Fleet.Now));
 }
 
 // Guards against asking dead relays again and again in place of live ones.
@@ -160,11 +161,11 @@
     return IsApart(From) == IsApart(To);
   };
   run(Fleet, milliseconds(4000));
-  cr_assert(!hearsMajority(Fleet.Instances[31].Membership, Fleet.Now));
-  cr_assert(hearsMajority(Fleet.Instances[1].Membership, Fleet.Now));
+  cr_assert(!inContactWithMajority(Fleet.Instances[31].Membership, Fleet.Now));
+  cr_assert(inContactWithMajority(Fleet.Instances[1].Membership, Fleet.Now));
   const membership &Apart = Fleet.Instances[35].Membership;
-  cr_assert(isHeard(Apart, *findMember(Apart, "i59"), Fleet.Now));
-  cr_assert(!isHeard(Apart, *findMember(Apart, "i1"), Fleet.Now));
+  cr_assert(isInContact(Apart, *findMember(Apart, "i59"), Fleet.Now));
+  cr_assert(!isInContact(Apart, *findMember(Apart, "i1"), Fleet.Now));
 }
 
 // Guards against telling that an instance is up, and not what it knows.
@@ -176,12 +177,12 @@
   Fleet.Instances[41].Membership.Local.Version = 5;
   run(Fleet, milliseconds(1500));
   const membership &Far = Fleet.Instances[40].Membership;
-  cr_assert(!isHeard(Far, *findMember(Far, "i41"), Fleet.Now));
-  cr_assert(isHeard(Far, *findMember(Far, "i43"), Fleet.Now));
+  cr_assert(!isInContact(Far, *findMember(Far, "i41"), Fleet.Now));
+  cr_assert(isInContact(Far, *findMember(Far, "i43"), Fleet.Now));
   for (fleet_instance &Instance : Fleet.Instances)
     Instance.Membership.Local.Version = 5;
   run(Fleet, milliseconds(1000));
-  cr_assert(isHeard(Far, *findMember(Far, "i41"), Fleet.Now));
+  cr_assert(isInContact(Far, *findMember(Far, "i41"), Fleet.Now));
   cr_assert(findMember(Far, "i41")->KnownVersion == 5);
 }
 
@@ -206,10 +207,10 @@
   fleet Fleet = makeFleet(60);
   run(Fleet, milliseconds(2000));
   for (const std::size_t Relay : relaysOf(Fleet))
-    Fleet.Instances[Relay].Membership.PassesOn = false;
+    Fleet.Instances[Relay].Membership.RelaysReports = false;
   run(Fleet, milliseconds(1500));
   const membership &Far = Fleet.Instances[40].Membership;
-  cr_assert(!isHeard(Far, *findMember(Far, "i41"), Fleet.Now));
+  cr_assert(!isInContact(Far, *findMember(Far, "i41"), Fleet.Now));
 }
 
 // Guards against positions that look younger by the time an answer waited.
@@ -254,7 +255,7 @@
       continue;
     const membership &Membership = Fleet.Instances[Index].Membership;
     const member *Dead = findMember(Membership, nameOf(Dying));
-    cr_assert(!isHeard(Membership, *Dead, Fleet.Now));
+    cr_assert(!isInContact(Membership, *Dead, Fleet.Now));
     cr_assert(Dead->KnownVersion < 7);
   }
 }
--- a/tests/control/share_fleet.hpp
+++ b/tests/control/share_fleet.hpp
@@ -203,7 +203,7 @@
   fleet_node &Node = Fleet.Nodes[Index];
   for (share_send &Send : Actions.Sends) {
     wire::datagram Datagram =
-        stamp(Node.Membership, Send.To, clockOf(Fleet, Index));
+        nextDatagram(Node.Membership, Send.To, clockOf(Fleet, Index));
     Datagram.Body = std::move(Send.Message);
     transmit(Fleet, Datagram);
   }
--- a/tests/control/share_floor_test.cpp
+++ b/tests/control/share_floor_test.cpp
@@ -107,7 +107,7 @@
   constexpr milliseconds OnItsWay{100};
   for (std::size_t Index = 0; Index < Count; ++Index) {
     const fleet_node &Node = Fleet.Nodes[Index];
-    const auto ContactAt = lastContact(Node.Membership.Store);
+    const auto ContactAt = lastStoreContact(Node.Membership.Store);
     cr_assert(ContactAt.value_or(Fleet.Now) - Node.Offset <= Down + OnItsWay);
   }
 }
--- a/tests/control/sheet_test.cpp
+++ b/tests/control/sheet_test.cpp
@@ -9,7 +9,7 @@
 #include "criterion_test.hpp"
 
 using namespace redwinggw;
-using control::readSheet;
+using control::parseSheet;
 
 namespace {
 
@@ -55,7 +55,7 @@
 } // namespace
 
 Test(sheet, a_quoted_sheet_reads_back_as_it_was_rendered) {
-  const auto Reading = readSheet(Good);
+  const auto Reading = parseSheet(Good);
   cr_assert(Reading.Configuration.has_value());
   const control::configuration &Read = *Reading.Configuration;
   cr_assert(Read.Version == 7);
@@ -64,22 +64,22 @@
   cr_assert(Read.Keys.front().Digest == Digest);
   cr_assert(Read.Reads.front().MaxAge == base::milliseconds(5000));
   cr_assert(Read.Endpoints.front().Connections == 35);
-  cr_assert(readSheet(control::renderSheet(Read)).Configuration == Read);
+  cr_assert(parseSheet(control::renderSheet(Read)).Configuration == Read);
 }
 
 Test(sheet, exports_of_common_spreadsheets_read_alike) {
   std::string Crlf;
   for (const char Letter : Good)
     Crlf += Letter == '\n' ? "\r\n" : std::string(1, Letter);
-  const auto Plain = readSheet(Good).Configuration;
-  cr_assert(readSheet("\xEF\xBB\xBF" + Crlf).Configuration == Plain);
-  cr_assert(readSheet(Good + "\n,,,,,,,,,,\n").Configuration == Plain);
+  const auto Plain = parseSheet(Good).Configuration;
+  cr_assert(parseSheet("\xEF\xBB\xBF" + Crlf).Configuration == Plain);
+  cr_assert(parseSheet(Good + "\n,,,,,,,,,,\n").Configuration == Plain);
   const std::string NoLastBreak = Good.substr(0, Good.size() - 1);
-  cr_assert(readSheet(NoLastBreak).Configuration == Plain);
+  cr_assert(parseSheet(NoLastBreak).Configuration == Plain);
 }
 
 Test(sheet, the_documented_example_is_a_good_sheet) {
-  const auto Reading = readSheet(documentedExample());
+  const auto Reading = parseSheet(documentedExample());
   cr_assert(Reading.Configuration.has_value());
   cr_assert(!Reading.Configuration->Reads.empty());
 }
@@ -126,7 +126,7 @@
        "connections"},
   };
   for (const expected_fault &Case : Cases) {
-    const auto Reading = readSheet(Case.Sheet);
+    const auto Reading = parseSheet(Case.Sheet);
     cr_assert(!Reading.Configuration);
     const bool Named = std::ranges::any_of(
         Reading.Faults, [&](const control::sheet_fault &Fault) {
@@ -140,7 +140,7 @@
 }
 
 Test(sheet, all_faults_are_reported_at_once_in_the_order_of_rows) {
-  const auto Reading = readSheet(Good + "customer,,,,,0,0\nfoo\nread,a,b\n");
+  const auto Reading = parseSheet(Good + "customer,,,,,0,0\nfoo\nread,a,b\n");
   std::vector<std::size_t> Rows;
   std::ranges::transform(Reading.Faults, std::back_inserter(Rows),
                          &control::sheet_fault::Row);
@@ -151,7 +151,7 @@
 // A planner pastes the key itself into the digest column. The refusal goes to
 // screens and logs, so it must not repeat the cell.
 Test(sheet, a_key_pasted_as_digest_is_not_repeated) {
-  const auto Reading = readSheet(replaced(Good, Digest, "my-secret-key"));
+  const auto Reading = parseSheet(replaced(Good, Digest, "my-secret-key"));
   for (const control::sheet_fault &Fault : Reading.Faults)
     cr_assert(describe(Fault).find("my-secret-key") == std::string::npos);
 }
--- a/tests/wire/message_test.cpp
+++ b/tests/wire/message_test.cpp
@@ -31,7 +31,7 @@
   Report.Digest.Scope = digest_scope::Fleet;
   relayed_member Member{17, 5, 0};
   setFact(Member, relayed_fact::KnowsVersion, true);
-  setFact(Member, relayed_fact::Informed, false);
+  setFact(Member, relayed_fact::ReadStoreSinceStart, false);
   Report.Digest.Members = {Member, {18, MaxAgeSteps, 0}};
   Report.Digest.Demands = {3, 1, {{7, 2.5F}}, {{8, 1.5F, 0.25F, 0.125F}}};
   Report.Digest.Suspicions = {{"orders", "orders-1", 2}};
@@ -55,7 +55,7 @@
   cr_assert(Report.Digest == Sent.Digest);
   const relayed_member &Member = Report.Digest.Members.front();
   cr_assert(hasFact(Member, relayed_fact::KnowsVersion));
-  cr_assert(!hasFact(Member, relayed_fact::Informed));
+  cr_assert(!hasFact(Member, relayed_fact::ReadStoreSinceStart));
 }
 
 Test(message, a_share_message_comes_back_as_it_was_sent) {
@@ -67,7 +67,7 @@
   cr_assert(Read.has_value());
   const auto &Back = std::get<share_message>(Read->Body);
   cr_assert(Back.Kind == share_kind::Grant && Back.Number == 99 &&
-            Back.Giver == "c");
+            Back.Allocator == "c");
   cr_assert(Back.Entries.size() == 1 && Back.Entries[0].Customer == "sweets");
   cr_assert(Back.Entries[0].Tokens == 2.5F && Back.Entries[0].TtlUs == 20);
 }
@@ -102,19 +102,27 @@
   struct step {
     std::uint64_t Incarnation;
     std::uint64_t Sequence;
-    freshness Expected;
+    datagram_order Expected;
   };
   const std::vector<step> Steps{
-      {5, 1, freshness::Newest},    {5, 1, freshness::Doubled},
-      {5, 4, freshness::Newest},    {5, 2, freshness::Crossed},
-      {5, 2, freshness::Doubled},   {5, 4, freshness::Doubled},
-      {5, 200, freshness::Newest},  {5, 3, freshness::Doubled},
-      {5, 150, freshness::Crossed}, {5, 137, freshness::Crossed},
-      {5, 136, freshness::Doubled}, {6, 1, freshness::Newest},
-      {5, 201, freshness::Former},  {6, 1, freshness::Doubled},
+      {5, 1, datagram_order::Newest},
+      {5, 1, datagram_order::Duplicate},
+      {5, 4, datagram_order::Newest},
+      {5, 2, datagram_order::Reordered},
+      {5, 2, datagram_order::Duplicate},
+      {5, 4, datagram_order::Duplicate},
+      {5, 200, datagram_order::Newest},
+      {5, 3, datagram_order::Duplicate},
+      {5, 150, datagram_order::Reordered},
+      {5, 137, datagram_order::Reordered},
+      {5, 136, datagram_order::Duplicate},
+      {6, 1, datagram_order::Newest},
+      {5, 201, datagram_order::FormerIncarnation},
+      {6, 1, datagram_order::Duplicate},
   };
   replay_window Window;
   cr_assert(std::ranges::all_of(Steps, [&](const step &Step) {
-    return note(Window, Step.Incarnation, Step.Sequence) == Step.Expected;
+    return recordDatagram(Window, Step.Incarnation, Step.Sequence) ==
+           Step.Expected;
   }));
 }
