--- a/packages/control/include/redwinggw/control/config_changes.hpp
+++ b/packages/control/include/redwinggw/control/config_changes.hpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-/// What differs between two configurations, by name.
+/// Differences between two configurations.
 namespace redwinggw::control {
 
 enum class config_row_kind { Customer, Key, Service, Read, Endpoint };
@@ -20,17 +20,17 @@
                          const config_change &) = default;
 };
 
-/// The changes that lead from \p Old to \p New, by part and name. The versions
-/// are not compared. Thread safe.
+/// The changes from \p Old to \p New, by kind of row and name. The versions are
+/// not compared. Thread safe.
 std::vector<config_change> changesBetween(const configuration &Old,
                                           const configuration &New);
 
-/// Names as in the sheet and for people: "customer", "added". Thread safe.
+/// Names as in the sheet and in messages: "customer", "added". Thread safe.
 std::string_view rowKindName(config_row_kind RowKind);
 std::string_view changeName(change_kind Kind);
 
-/// "customer a changed, key k1 removed"; cut with a count after the first
-/// \p Limit. Thread safe.
+/// "customer a changed, key k1 removed"; after the first \p Limit changes only
+/// the number of the others. Thread safe.
 std::string describe(const std::vector<config_change> &Changes,
                      std::size_t Limit = 20);
 
--- a/packages/control/include/redwinggw/control/config_submission.hpp
+++ b/packages/control/include/redwinggw/control/config_submission.hpp
@@ -8,17 +8,18 @@
 #include <variant>
 #include <vector>
 
-/// The decisions behind a change of the configuration, without I/O.
+/// Changes of the configuration. Decision logic without I/O.
 ///
-/// One conditional commit accepts a change: it puts the head row and the row
-/// of the new version under the condition that the head row is as it was read.
-/// So of two racing operators one wins, and a commit that arrives late can
-/// only take effect while nothing else was accepted. A lost answer is resolved
-/// by reading the row of the version that the commit would have made: it
-/// carries the submission's id.
+/// One conditional commit accepts a change: it writes the head row and the row
+/// of the new version on condition that the head row is unchanged since it was
+/// read. So of two concurrent operators one wins, and a commit that arrives
+/// late takes effect only if nothing else was accepted in between. If the
+/// answer to the commit is lost, its outcome is determined by reading the row
+/// of the version that it would have created, which carries the id of the
+/// submission.
 namespace redwinggw::control {
 
-/// Gives a customer a key.
+/// Adds a key to a customer.
 struct key_addition {
   customer_key Key;
 };
@@ -27,19 +28,19 @@
   std::string KeyId;
 };
 
-/// What an operator asks for: a whole sheet, made from its Version, or a
-/// change of what is in force, whatever that is.
+/// A request of an operator: a whole sheet that was made from its Version, or a
+/// change to whichever version is in force.
 using config_request =
     std::variant<configuration, key_addition, key_withdrawal>;
 
-/// What was read from the store.
+/// The configuration as read from the store.
 struct config_state {
   config_head Head;
-  /// Those of the sheets asked for that are kept.
+  /// The requested sheets, without those that are no longer kept.
   std::vector<accepted_sheet> Sheets;
 };
 
-/// A commit that makes \p Sheet the next version.
+/// A commit that makes Sheet the next version.
 struct config_commit {
   accepted_sheet Sheet;
   storage::commit_request Request;
@@ -54,25 +55,26 @@
 /// Nothing was changed.
 struct config_refused {
   base::failure Failure;
-  /// What was accepted since the version that the sheet was made from.
+  /// Changes accepted since the version that the sheet was made from.
   std::vector<config_change> ChangesSince;
 };
 
 using config_plan =
     std::variant<config_commit, config_accepted, config_refused>;
 
-/// Decides what to do about \p Request. \p State must hold the sheets that
-/// sheetsToRead named for its head.
+/// Decides how to process \p Request. \p State must hold the sheets that
+/// sheetsToRead lists for its head.
 config_plan planSubmission(const config_state &State,
                            const config_request &Request,
                            const std::string &Submission, std::int64_t WallNow);
 
-/// What became of a commit whose answer was lost or that met a conflict.
+/// Outcome of a commit whose answer was lost or was a conflict.
 enum class lost_commit_outcome {
   Accepted,
-  /// The head has moved on without it: it can never take effect.
+  /// Another submission created this version: the commit can never take
+  /// effect.
   Superseded,
-  /// The head is as it was: it may still take effect, or be sent again.
+  /// The head is unchanged: the commit may still take effect, or be sent again.
   Pending,
   /// Its version is too old for its sheet to be kept.
   TooOld,
@@ -81,7 +83,7 @@
 lost_commit_outcome resolveLostAnswer(const config_state &State,
                                       const config_commit &Commit);
 
-/// The run of one request from its first read to its end.
+/// The progress of one request from its first read to its end.
 struct submission {
   config_request Request;
   std::string Id;
@@ -91,12 +93,12 @@
       : Request(std::move(Request)), Id(std::move(Id)) {}
 };
 
-/// Read the head and the sheets that sheetsToRead names, then call onState.
+/// Read the head and the sheets that sheetsToRead lists, then call onState.
 struct read_config {};
 using submission_action =
     std::variant<read_config, config_commit, config_accepted, config_refused>;
 
-/// Answer of a commit; Unknown when none came.
+/// Answer to a commit; Unknown when none arrived.
 enum class commit_answer { Accepted, Conflict, Unknown };
 
 /// Versions whose sheets planSubmission and resolveLostAnswer need.
@@ -109,7 +111,7 @@
 /// Precondition: a commit was sent.
 submission_action onCommitAnswer(submission &Submission, commit_answer Answer);
 
-/// How a request ends that could not be finished in time.
+/// The failure of a request that did not finish in time.
 base::failure failureOnTimeout(const submission &Submission);
 
 } // namespace redwinggw::control
--- a/packages/control/include/redwinggw/control/configuration.hpp
+++ b/packages/control/include/redwinggw/control/configuration.hpp
@@ -9,20 +9,20 @@
 #include <string_view>
 #include <vector>
 
-/// The state of the whole fleet that one accepted sheet declares.
+/// The configuration of the whole fleet that one accepted sheet declares.
 namespace redwinggw::control {
 
 struct customer {
   base::customer_name Name;
-  /// Requests a second over the whole fleet.
+  /// Requests per second over the whole fleet.
   double Rate = 0;
-  /// Requests above the rate that may come at once.
+  /// Requests that may exceed the rate at once.
   double Burst = 0;
 
   friend bool operator==(const customer &, const customer &) = default;
 };
 
-/// A key of a customer. Only its keyed digest is known.
+/// A key of a customer. Only its keyed digest is stored.
 struct customer_key {
   std::string Id;
   base::customer_name Customer;
@@ -35,14 +35,14 @@
 struct service {
   base::service_name Name;
   base::group_name Group;
-  /// Age that session reads without a declared name accept; zero sends them
-  /// to the primary.
+  /// Maximum age of data that session reads without a declared name accept;
+  /// zero sends them to the primary.
   base::milliseconds SessionMaxAge{0};
 
   friend bool operator==(const service &, const service &) = default;
 };
 
-/// A read that accepts data of a stated age.
+/// A named read that accepts data up to the given age.
 struct declared_read {
   std::string Name;
   base::service_name Service;
@@ -58,16 +58,16 @@
   base::group_name Group;
   http::address Address;
   base::zone_name Zone;
-  /// Statements that it runs at once.
+  /// Statements that it can run concurrently.
   unsigned Slots = 0;
-  /// Connections that it allows over all instances.
+  /// Connections that it accepts from all instances together.
   unsigned Connections = 0;
 
   friend bool operator==(const endpoint &, const endpoint &) = default;
 };
 
-/// Each list is sorted by its Name or Id, and each of these is unique, but for
-/// reads: they are unique by name within their service.
+/// Each list is sorted by Name or Id, which is unique in the list; only reads
+/// are unique by name within their service.
 struct configuration {
   base::config_version Version = 0;
   std::vector<customer> Customers;
@@ -75,10 +75,10 @@
   std::vector<service> Services;
   std::vector<declared_read> Reads;
   std::vector<endpoint> Endpoints;
-  /// Places in Keys in the order of their digests; see indexKeys.
+  /// Indices in Keys, sorted by the keys' digests; see indexKeys.
   std::vector<std::uint32_t> KeysByDigest;
 
-  /// Compares what the sheet says; the index follows from it.
+  /// Compares what the sheet declares; KeysByDigest is derived from it.
   friend bool operator==(const configuration &Left,
                          const configuration &Right) {
     return Left.Version == Right.Version && Left.Customers == Right.Customers &&
@@ -87,11 +87,11 @@
   }
 };
 
-/// Builds KeysByDigest. To be called after each change of Keys; until then
+/// Builds KeysByDigest. Must be called after each change of Keys; until then
 /// findKey may miss keys, but never finds one that is not in Keys.
 void indexKeys(configuration &Configuration);
 
-/// Look-ups by name; null when there is none. The pointer lives as long as
+/// Look-ups by name; null when there is none. The pointer is valid as long as
 /// \p Configuration is unchanged. Thread safe on a constant configuration.
 const customer *findCustomer(const configuration &Configuration,
                              std::string_view Name);
@@ -100,14 +100,14 @@
 const declared_read *findRead(const configuration &Configuration,
                               std::string_view Service, std::string_view Name);
 
-/// The customer whose key \p Key is in force, null when there is none. Without
-/// an index it compares with all keys. Its time tells nothing of use about a
-/// key: the search goes by the keyed digest, which a caller cannot steer
-/// without the fleet's key, and the last comparison takes constant time.
+/// The entry of \p Key if it is in force, else null. Without an index it
+/// compares with all keys. Its run time reveals nothing useful about a key: the
+/// search uses the keyed digest, which a caller cannot choose without the
+/// fleet's key, and the last comparison takes constant time.
 const customer_key *findKey(const configuration &Configuration,
                             std::string_view FleetKey, std::string_view Key);
 
-/// The groups that \p Configuration names, sorted, without repeats.
+/// The groups that have endpoints in \p Configuration, sorted, each once.
 std::vector<base::group_name> groupsOf(const configuration &Configuration);
 
 /// The endpoints of \p Group in the order of the configuration.
--- a/packages/control/include/redwinggw/control/configuration_service.hpp
+++ b/packages/control/include/redwinggw/control/configuration_service.hpp
@@ -13,20 +13,21 @@
 #include <string>
 #include <vector>
 
-/// The shell around the configuration: reads the head row at an interval,
-/// brings newer versions into force, and takes operators' changes.
+/// I/O for the configuration: reads the head row periodically, puts newer
+/// versions in force, and processes operators' changes.
 namespace redwinggw::control {
 
 struct config_options {
-  /// Key under which the digests of customers' keys are made.
+  /// HMAC key for the digests of customers' keys.
   std::string FleetKey;
-  /// Between two reads of the head row.
+  /// Time between two reads of the head row.
   base::milliseconds RefreshInterval{500};
-  /// How long a change is tried before its outcome is given up.
+  /// How long a change is retried before it fails or its outcome is reported as
+  /// unknown.
   base::milliseconds SubmitTimeout{5000};
-  /// Greatest pause between two tries; each takes a random part of it.
+  /// Longest pause between two tries; each pause is random up to it.
   base::milliseconds RetryPause{100};
-  /// How long an answer waits for the instances to have the change in force.
+  /// How long an answer waits until the instances have the change in force.
   base::milliseconds InForceWait{2000};
 };
 
@@ -36,45 +37,47 @@
   base::config_version Version = 0;
 };
 
-/// What the service needs of the others. Empty ones mean that this instance
-/// is alone.
+/// Callbacks into the other components. Empty ones mean that this instance is
+/// the only one.
 struct configuration_ports {
-  /// True when this instance hears a majority of the fleet. A change is
-  /// accepted only then: otherwise nobody could confirm that it is in force.
+  /// True when this instance is in contact with a majority of the fleet. A
+  /// change is accepted only then: otherwise nobody could confirm that it is in
+  /// force.
   std::function<bool()> MayAccept;
-  /// True when a majority told that it knows of this version.
+  /// True when a majority has reported that it knows of this version.
   std::function<bool(base::config_version)> MajorityKnows;
-  /// The other instances that are up, with the version at each.
+  /// The other live instances, with the version in force at each.
   std::function<std::vector<instance_version>()> Others;
-  /// Called after a read of the head row: sent, answered, version of the head.
+  /// Called after a read of the head row with the time when it was sent, the
+  /// time of the answer, and the version of the head.
   std::function<void(base::instant, base::instant, base::config_version)>
       NoteStoreRead;
   /// Called after any other answer of the store.
   std::function<void()> NoteStoreContact;
 };
 
-/// A change that was accepted.
+/// The result of a change that was accepted.
 struct submitted {
   base::config_version Version = 0;
-  /// It had been accepted by an earlier, identical submission.
+  /// An earlier, identical submission had been accepted.
   bool AlreadyAccepted = false;
-  /// A majority knows of it, so that it is in force everywhere in a moment,
-  /// also at instances that cannot be reached: these stop to serve.
+  /// A majority knows of the version, so that it is in force everywhere within
+  /// a short time. Instances that cannot be reached stop serving.
   bool Confirmed = false;
-  /// Instances that have it in force, out of Instances.
+  /// Number of instances, out of Instances, that have the version in force.
   std::size_t InForceAt = 0;
   std::size_t Instances = 0;
 };
 
 struct given_key {
   std::string Id;
-  /// The key itself, to be shown once; only its digest is stored.
+  /// The key itself, which is shown only once; only its digest is stored.
   std::string Key;
   submitted Submitted;
 };
 
-/// Used from one thread. \p Store must outlive the service and the run of the
-/// executor.
+/// Must be used from one thread. \p Store must outlive the service and the run
+/// of the executor.
 class configuration_service {
 public:
   configuration_service(boost::asio::any_io_executor Executor,
@@ -86,40 +89,44 @@
   /// Call before start.
   void setPorts(configuration_ports Ports);
 
-  /// Begins to read the head row.
+  /// Starts reading the head row periodically.
   void start();
 
-  /// Ends the reading, so that the executor's run can return. May be repeated.
+  /// Stops reading, so that the executor's run can return. Idempotent.
   void stop();
 
-  /// What is in force here; empty with version 0 before the store was read.
-  /// The reference stays valid, the content changes with each version.
+  /// The configuration in force here; empty with version 0 before the first
+  /// read of the store. The reference stays valid, the content changes with
+  /// each version.
   const configuration &inForce() const;
 
-  /// False until the store was read once after the start.
+  /// False until the store has been read for the first time after the start.
   bool hasConfiguration() const;
 
-  /// Called after each change of inForce(), in the order of the calls.
+  /// Registers a callback for each change of inForce(). Callbacks run in the
+  /// order of registration.
   void onChange(std::function<void(const configuration &)> Callback);
 
-  /// A peer told of \p Version. When it is newer, the store is read at once.
+  /// Called when a peer reports \p Version. If it is newer than the one in
+  /// force, the store is read at once.
   void noteVersionSeen(base::config_version Version);
 
-  /// When the question of the last answered read of the head row was sent.
+  /// Send time of the last read of the head row that was answered.
   std::optional<base::instant> lastStoreAnswer() const;
 
   /// Submits a sheet. Fails with errc::BadSheet (each fault on its own line of
-  /// the detail), errc::Conflict (names what changed since), and as the
-  /// changes of keys do.
+  /// the detail), errc::Conflict (lists what changed since), and as giveKey
+  /// does.
   base::task<base::result<submitted>> submit(std::string Sheet);
 
-  /// Makes a random key. Fails with errc::NotFound for an unknown customer,
-  /// errc::StaleConfiguration when no majority is heard,
-  /// errc::StoreUnreachable when nothing was changed, errc::OutcomeUnknown.
+  /// Creates a random key. Fails with errc::NotFound for an unknown customer,
+  /// errc::StaleConfiguration when this instance is not in contact with a
+  /// majority, errc::StoreUnreachable when nothing was changed, and
+  /// errc::OutcomeUnknown.
   base::task<base::result<given_key>> giveKey(base::customer_name Customer);
 
-  /// Withdraws a key. Fails as giveKey does. With errc::OutcomeUnknown the key
-  /// is out of force here, and the service goes on to withdraw it.
+  /// Withdraws a key. Fails as giveKey does. After errc::OutcomeUnknown the key
+  /// is out of force here, and the service keeps trying to withdraw it.
   base::task<base::result<submitted>> withdrawKey(std::string KeyId);
 
   /// The sheet of \p Version. Fails with errc::NotFound,
--- a/packages/control/include/redwinggw/control/membership.hpp
+++ b/packages/control/include/redwinggw/control/membership.hpp
@@ -14,52 +14,55 @@
 #include <utility>
 #include <vector>
 
-/// Which instances there are and what they say, from the platform's lagging
-/// list and heartbeats. Decisions only; peer_service.hpp is the shell.
+/// Group membership: which instances exist and what they report, from the
+/// platform's instance list, which lags behind, and from heartbeats. Pure
+/// decision logic without I/O; peer_service.hpp adds the sockets and timers.
 namespace redwinggw::control {
 
 /// Who this instance is.
 struct peer_identity {
   base::instance_name Name;
   base::zone_name Zone;
-  /// Wall clock (ms) at start: grows from start to start.
+  /// Wall clock (ms) at start, so that it grows with each restart.
   std::uint64_t Incarnation = 0;
-  /// How much work it can take compared with others; instances with more relay
-  /// for those with less.
+  /// Relative processing capacity. Instances with a higher capacity are
+  /// preferred as relays.
   double Capacity = 0;
 };
 
-/// Times and bounds of the heartbeats.
+/// Heartbeat intervals, timeouts and limits.
 struct membership_limits {
   base::milliseconds Interval{200};
-  /// Up to so many others each heartbeat goes to all of them; beyond that
-  /// relays.hpp says to whom.
+  /// With up to this many other instances, each heartbeat goes to all of them;
+  /// in larger fleets relays.hpp chooses the receivers.
   std::size_t DirectLimit = 16;
-  /// An instance is heard while what it said is at most so old.
+  /// An instance is in contact while its latest report is at most this old.
   base::milliseconds ContactTimeout{600};
   base::milliseconds SuspectAfter{700};
   base::milliseconds DeadAfter{2000};
-  /// The same where there are relays: what they tell is up to three heartbeats
-  /// old.
+  /// The same timeouts in a fleet with relays, whose reports about others are
+  /// up to three heartbeats old.
   base::milliseconds RelayedContactTimeout{1000};
   base::milliseconds RelayedSuspectAfter{1300};
   base::milliseconds RelayedDeadAfter{2600};
-  /// A relay that is silent for so long is passed over, and asked again after
-  /// RelaySkipTime.
+  /// A relay that has not answered for this long is skipped, and tried again
+  /// after RelaySkipTime.
   base::milliseconds RelayTimeout{650};
   base::milliseconds RelaySkipTime{3000};
-  /// An instance whose last answer of the store is older does not read it for
-  /// others.
+  /// An instance whose last answer from the store is older than this does not
+  /// read the store on behalf of others.
   base::milliseconds MaxStoreContactAge{2500};
-  /// Take in instances that are not listed but sign rightly, until the next
-  /// list. Guards against an instance that joins right before the list cannot
-  /// be read any more: nobody would answer it, and it would refuse its callers
-  /// until the list is back. Safe, since a longer list only asks for more.
+  /// Accept instances that are not listed but whose datagrams carry a valid
+  /// signature, until the next list is read. Guards against an instance that
+  /// joins right before the list becomes unreadable: nobody would answer it,
+  /// and it would refuse its callers until the list is readable again. Safe,
+  /// since a longer list only raises the number needed for a majority.
   bool AcceptUnlisted = false;
-  /// Switched off by tests only: judge age by arrival, not by the echo.
+  /// Compute the age of a report from the echoed heartbeat instead of its
+  /// arrival. Only tests switch it off.
   bool AgeByEcho = true;
-  /// Switched off by tests only: instances that have not read the store since
-  /// their start count for a majority too.
+  /// Count only instances that have read the store since their start towards
+  /// a majority. Only tests switch it off.
   bool RequireStoreReadSinceStart = true;
 };
 
@@ -72,65 +75,67 @@
   base::zone_name Zone;
   http::address Address;
   bool ListedLeaving = false;
-  /// A relay told that it leaves.
+  /// A relay reported that it is leaving.
   bool RelayedLeaving = false;
   member_state State = member_state::Suspect;
   wire::replay_window Window;
-  /// Sequence of the newest heartbeat.
+  /// Sequence number of the newest heartbeat.
   std::uint64_t Heartbeat = 0;
-  /// Its last report was made at this time or later: the time when the
-  /// heartbeat left that it echoes. Relayed knowledge counts here too.
+  /// Lower bound of the time when its last report was made: the time at which
+  /// the heartbeat that it echoes was sent. Relayed reports count too.
   std::optional<base::instant> LastSeenAt;
   /// When its newest heartbeat arrived, here or at a relay, as far as is known.
-  /// Nothing: none yet.
+  /// Empty before the first one.
   std::optional<base::instant> ArrivedAt;
   /// When its newest heartbeat arrived here.
   std::optional<base::instant> DirectHeartbeatAt;
-  /// \name As a relay, or one that may be
+  /// \name State as a relay or a candidate for one
   /// @{
   double Capacity = 0;
-  /// Since when it has left our heartbeats unanswered.
+  /// Send time of the first heartbeat that it has not answered.
   std::optional<base::instant> UnansweredSince;
   std::optional<base::instant> SkippedUntil;
   /// @}
-  /// It had gathered rates for a while, at LastSeenAt.
+  /// At LastSeenAt it had used centralized buckets for a while.
   bool CentralizesBuckets = false;
-  /// It had an answer of the store at this time or later.
+  /// It received an answer from the store at this time or later.
   std::optional<base::instant> StoreContactAt;
-  /// Highest version in force there that is known, and the highest that it can
-  /// have known of at LastSeenAt.
+  /// Highest version known to be in force there, and an upper bound of the
+  /// version that it can have known of at LastSeenAt.
   base::config_version KnownVersion = 0;
   base::config_version PossibleVersion = 0;
-  /// The newest report and the earliest time when it can have been made.
+  /// The newest report and a lower bound of the time when it was made.
   wire::peer_report Report;
   std::optional<base::instant> ReportAt;
-  /// It had read the store since its start, at LastSeenAt.
+  /// At LastSeenAt it had read the store at least once since its start.
   bool ReadStoreSinceStart = false;
-  /// Highest head version that it is known to know.
+  /// Highest head version that it knows of, as far as it or a relay reported.
   base::config_version KnownHead = 0;
-  /// When it came onto the list.
+  /// When it was added to Members.
   base::instant ListedSince;
 };
 
-/// What is known about the store, from own reads and by relay.
+/// What is known about the store, from own reads and from the reports of
+/// other instances.
 struct store_observations {
-  /// Highest configuration version that anybody saw in the store.
+  /// Highest configuration version that any instance has read from the store.
   base::config_version HeadVersion = 0;
-  /// At this time or later HeadVersion was the head.
+  /// HeadVersion was still the head at this time or later.
   std::optional<base::instant> HeadReadAt;
-  /// The last answer of the store: to us; to one that told us so itself; and
-  /// to one that told one that told us. Never too early. It goes no further:
-  /// the time on the way adds to the error, and news that went round among
-  /// the instances would look younger with each hop, so that a share giver
-  /// would take a long outage for its end.
+  /// Upper bounds of the time of the last answer of the store: to this
+  /// instance; to one that reported it directly; and to one that reported it to
+  /// a direct reporter. Reports are not passed on any further: the transit time
+  /// adds to the error at each hop, so a report that circulated among the
+  /// instances would look ever more recent, and a share allocator would take a
+  /// long outage for over.
   std::optional<base::instant> OwnContactAt;
   std::optional<base::instant> PeerContactAt;
   std::optional<base::instant> TwoHopContactAt;
-  /// Our own last read was sent then.
+  /// When this instance's own last read was sent.
   std::optional<base::instant> ReadAt;
 };
 
-/// Datagrams that had no effect, by reason.
+/// Heartbeats that had an effect, and datagrams that had none, by reason.
 struct membership_counters {
   std::uint64_t Heartbeats = 0;
   std::uint64_t UnknownSender = 0;
@@ -146,70 +151,75 @@
   wire::datagram Datagram;
 };
 
-/// Not thread safe.
+/// The other instances as this one sees them. Not thread safe.
 struct membership {
   peer_identity Self;
   membership_limits Limits;
   /// Sorted by name, without this instance.
   std::vector<member> Members;
-  /// True once a list was read.
+  /// True once a list has been read.
   bool ListKnown = false;
-  /// The place of each member by the hash of its name, sorted.
+  /// Hash of each member's name with its index in Members, sorted.
   std::vector<std::pair<std::uint32_t, std::size_t>> ByHash;
-  /// Whether this instance relays, as of the last heartbeats.
+  /// Whether this instance acted as a relay when it last sent heartbeats.
   bool Relay = true;
-  /// False: this instance passes on nothing of others, since it does not take
-  /// in all that they tell.
+  /// Whether digests list other instances. False while this instance does not
+  /// process everything that they report.
   bool RelaysReports = true;
-  /// Somebody told of an instance that is not on the list.
+  /// A relay reported an instance that is not on the list.
   bool UnlistedReported = false;
-  /// What this instance passes on of others beside their ages, as the shell
-  /// left it: to other relays, and to the instances that it relays for.
+  /// What this instance relays about others in addition to their ages, as the
+  /// owner last set it: to other relays, and to the instances that it relays
+  /// for.
   wire::fleet_digest ZoneDigest;
   wire::fleet_digest FleetDigest;
   store_observations Store;
   membership_counters Counters;
-  /// The own part of each heartbeat, as the shell left it at LocalAt.
+  /// What each heartbeat says about this instance itself, as the owner set it
+  /// at LocalAt.
   wire::peer_report Local;
   base::instant LocalAt = base::instant::min();
   std::uint64_t Sequence = 0;
   std::optional<base::instant> LastTick;
-  /// When the last own datagrams left, by sequence modulo the size.
+  /// Send times of the last own datagrams, indexed by sequence number modulo
+  /// the size.
   static constexpr std::size_t SentSlots = 4096;
   std::vector<base::instant> SentAt;
 };
 
-/// A membership that knows of nobody else.
+/// A membership without other members.
 membership makeMembership(peer_identity Self, membership_limits Limits = {});
 
-/// A datagram of ours with the next sequence number.
+/// A datagram from this instance with the next sequence number; records its
+/// send time.
 wire::datagram nextDatagram(membership &Membership, std::string_view Receiver,
                             base::instant Now);
 
-/// Takes in the platform's list: new ones are suspect until heard, removed
-/// ones are forgotten.
+/// Applies the platform's instance list: new instances are suspect until their
+/// first report, removed ones are dropped.
 void onList(membership &Membership,
             const std::vector<storage::listed_instance> &Listed,
             base::instant Now);
 
-/// Takes in the sender of a datagram that is not listed, if strangers are
-/// accepted.
+/// Adds the sender of a datagram as a member although it is not listed, if
+/// AcceptUnlisted is set.
 void onUnlistedInstance(membership &Membership, const wire::datagram &Datagram,
                         const http::address &From, base::instant Now);
 
-/// Recognises late, crossed, doubled and misaddressed datagrams. True when
-/// \p Datagram may have an effect. Call once for each that arrives.
+/// Detects late, reordered, duplicate and misaddressed datagrams. True when
+/// \p Datagram may have an effect. Call it once for each that arrives.
 bool admitDatagram(membership &Membership, const wire::datagram &Datagram);
 
-/// Takes in a heartbeat that admitDatagram let pass; answers what to send.
-/// A heartbeat older than the newest of its sender changes nothing.
+/// Applies a heartbeat that admitDatagram accepted and returns the answers to
+/// send. A heartbeat older than the newest of its sender changes nothing.
 std::vector<peer_send> onHeartbeat(membership &Membership,
                                    const wire::datagram &Datagram,
                                    base::instant Now);
 
-/// How long to wait between two readings of the list. It grows with the fleet,
-/// so that all together read it at most 32 times a second: with one reading a
-/// second each, 790 instances would take a large part of the store's reads.
+/// Interval between two reads of the list. It grows with the fleet, so that
+/// all instances together read the list at most 32 times a second: with one
+/// read a second each, 790 instances would take a large part of the store's
+/// read capacity.
 base::milliseconds listInterval(const membership &Membership);
 
 /// Whether onTick would send heartbeats.
@@ -218,15 +228,16 @@
 /// The heartbeats that are due. Call at least every Interval.
 std::vector<peer_send> onTick(membership &Membership, base::instant Now);
 
-/// A last heartbeat to all known, with the leaving mark.
+/// A last heartbeat, marked as leaving, to all members that this instance
+/// exchanges heartbeats with.
 std::vector<peer_send> onLeave(membership &Membership, base::instant Now);
 
-/// Notes an own read of the store that was sent at \p Sent, answered at
-/// \p Answered and showed \p Head as the version of the configuration.
+/// Records an own read of the store that was sent at \p Sent, answered at
+/// \p Answered and returned \p Head as the version of the configuration.
 void onStoreRead(membership &Membership, base::instant Sent,
                  base::instant Answered, base::config_version Head);
 
-/// Notes any other answer of the store.
+/// Records any other answer of the store.
 void onStoreContact(membership &Membership, base::instant Answered);
 
 /// The member called \p Name, null when there is none.
@@ -235,34 +246,36 @@
 /// The member whose name has \p Hash, null when there is none.
 const member *findByHash(const membership &Membership, std::uint32_t Hash);
 
-/// Whether \p Member had an answer of the store lately and may read it for
-/// others.
+/// Whether \p Member received an answer from the store recently, so that it may
+/// read the store for others.
 bool hasRecentStoreContact(const membership &Membership, const member &Member,
                            base::instant Now);
 
-/// True when \p Member said something at \p Now - ContactTimeout or later.
+/// True when the latest report of \p Member was made at
+/// \p Now - ContactTimeout or later.
 bool isInContact(const membership &Membership, const member &Member,
                  base::instant Now);
 
-/// Instances on the list, this one included.
+/// Number of instances on the list, this one included.
 std::size_t instanceCount(const membership &Membership);
 
-/// True when more than half of the instances on the list are heard, this one
-/// included. An instance that has not read the store since its start does not
-/// count: it cannot know what its predecessor knew.
+/// True when more than half of the instances on the list, this one included,
+/// are in contact. An instance that has not read the store since its start does
+/// not count: it cannot know what its predecessor knew.
 bool inContactWithMajority(const membership &Membership, base::instant Now);
 
-/// True when more than half of the instances said that they know of head
-/// version \p Version or a higher one. An acceptance is answered to the
-/// operator after this holds: then no instance can take the store for down
-/// since before it.
+/// True when more than half of the instances reported that they know of head
+/// version \p Version or a higher one. An accepted change is confirmed to the
+/// operator only once this holds: from then on no instance can assume that the
+/// store has been down since before the change.
 bool majorityKnows(const membership &Membership, base::config_version Version);
 
-/// No answer of the store that we know of came later than this.
+/// Upper bound of the time of the last known answer of the store to any
+/// instance.
 std::optional<base::instant> lastStoreContact(const store_observations &Store);
 
-/// True when more than half of the instances got a heartbeat that we sent at
-/// \p Since or later.
+/// True when more than half of the instances, this one included, received a
+/// heartbeat that this instance sent at \p Since or later.
 bool majorityReceivedSince(const membership &Membership,
                            base::instant ListedSince);
 
--- a/packages/control/include/redwinggw/control/operator_server.hpp
+++ b/packages/control/include/redwinggw/control/operator_server.hpp
@@ -11,35 +11,38 @@
 #include <map>
 #include <string>
 
-/// The server for operators: HTTP/1.1 and JSON. Each request but that for the
-/// metrics carries `Authorization: Bearer OPERATOR_KEY`.
+/// The server for operators: HTTP/1.1 with JSON bodies. Each request except the
+/// one for the metrics must carry `Authorization: Bearer OPERATOR_KEY`.
 namespace redwinggw::control {
 
-/// Used from one thread. Must outlive the run of the executor.
+/// Must be used from one thread, and outlive the run of the executor.
 class operator_server {
 public:
-  /// Answers the JSON object of a request with a JSON object or a failure.
+  /// Handles the JSON object of a request; returns a JSON object or a failure.
   using route = std::function<base::task<base::result<boost::json::object>>(
       boost::json::object)>;
   using status_provider = std::function<boost::json::value()>;
 
-  /// \p OperatorKey must not be empty; with an empty one all is refused.
+  /// \p OperatorKey must not be empty; with an empty one all requests are
+  /// refused.
   operator_server(boost::asio::any_io_executor Executor,
                   std::string OperatorKey);
 
-  /// Adds what POST requests to \p Path do; replaces an earlier one.
+  /// Registers the handler of POST requests to \p Path; replaces an earlier
+  /// one.
   void addRoute(std::string Path, route Route);
 
   /// Adds the member \p Name to the answer of /operators/status.
   void addStatus(std::string Name, status_provider Provider);
 
-  /// What GET /operators/metrics answers, in the text format of Prometheus.
+  /// Provider of the answer to GET /operators/metrics, in the Prometheus text
+  /// format.
   void setMetrics(std::function<std::string()> Metrics);
 
-  /// Fails with errc::BadSettings; port 0 picks a free one.
+  /// Fails with errc::BadSettings; port 0 selects a free port.
   base::result<http::address> listen(const http::address &Address);
 
-  /// Stops accepting; requests that run are answered.
+  /// Stops accepting connections; requests in progress are answered.
   void drain();
 
 private:
--- a/packages/control/include/redwinggw/control/peer_service.hpp
+++ b/packages/control/include/redwinggw/control/peer_service.hpp
@@ -16,11 +16,11 @@
 #include <string_view>
 #include <vector>
 
-/// The shell around membership and currency: the UDP socket, the clock, and
-/// the polling of the platform's list.
+/// I/O for membership and configuration freshness: the UDP socket, the timers,
+/// and the polling of the platform's instance list.
 namespace redwinggw::control {
 
-/// A report on a group, with who made it and the earliest time when it can
+/// A report about a group, with its sender and the earliest time when it can
 /// have been made.
 struct received_group_report {
   base::instance_name From;
@@ -37,13 +37,14 @@
   std::uint64_t ReceivedBytes = 0;
 };
 
-/// Used from one thread. Must outlive the executor's run.
+/// Must be used from one thread, and outlive the executor's run.
 class peer_service {
 public:
   using report_handler = std::function<void(const member &)>;
   using share_handler =
       std::function<void(const wire::datagram &, const wire::share_message &)>;
-  /// Gives the value for the next datagram; takes in the one of a received.
+  /// Hybrid logical clock: Stamp returns the value for the next datagram,
+  /// Observe receives the value of each datagram that arrives.
   struct clock_port {
     std::function<wire::clock_value()> Stamp;
     std::function<void(wire::clock_value)> Observe;
@@ -62,18 +63,19 @@
   /// when the address cannot be bound.
   base::result<http::address> start();
 
-  /// Tells the others that this instance leaves, and marks its heartbeats.
+  /// Announces to the others that this instance is leaving, and marks all later
+  /// heartbeats accordingly.
   void drain();
 
-  /// Ends the heartbeats and closes the socket, so that the executor's run
-  /// can return. May be repeated.
+  /// Stops the heartbeats and closes the socket, so that the executor's run
+  /// can return. Idempotent.
   void stop();
 
-  /// The hybrid logical clock to put into datagrams; zeros without one.
+  /// The hybrid logical clock for datagrams; without one they carry zeros.
   void setClock(clock_port Clock);
 
-  /// Takes in a list of all instances that the owner has read. Only where the
-  /// store has no list of its own to poll.
+  /// Applies an instance list that the caller has read. Only for a store
+  /// without a list that this service can poll.
   void setList(const std::vector<storage::listed_instance> &Listed);
 
   /// The configuration version in force here.
@@ -86,56 +88,61 @@
   /// Any other answer of the store; see onStoreContact.
   void noteStoreContact();
 
-  /// The own reports on groups. At most MaxGroupReports travel, suspect ones
-  /// first.
+  /// This instance's reports about groups. At most MaxGroupReports are sent,
+  /// suspect ones first.
   static constexpr std::size_t MaxGroupReports = 16;
   void setGroupReports(std::vector<wire::group_report> Reports);
 
   const membership &view() const;
 
-  /// What heard instances say about \p Group.
+  /// What other instances last reported about \p Group.
   std::vector<received_group_report> reportsOf(std::string_view Group) const;
 
   /// Called after each heartbeat that had an effect.
   void onReport(report_handler Handler);
 
   /// Sends to the instance called \p Instance; false when it is not known.
-  /// A datagram may be lost on the way.
+  /// The datagram may be lost in transit.
   bool send(std::string_view Instance, wire::share_message Message);
   void onShareMessage(share_handler Handler);
 
-  /// \p Fill completes the own heartbeats right before they leave, once for all
-  /// of a time. Answers between two of them carry what it left.
+  /// \p Fill updates this instance's report right before heartbeats are sent,
+  /// once for all heartbeats of one tick. Answers between two ticks carry the
+  /// report as it was last filled in.
   void setHeartbeatFiller(std::function<void(wire::peer_report &)> Fill);
 
-  /// Sends the next heartbeat at once: it carries news that others wait for.
+  /// Sends the next heartbeats at once, when they carry a change that others
+  /// wait for.
   void sendHeartbeatsNow();
 
-  /// Sends a reading of the store to all live members, through relays where
-  /// there are any, and takes in theirs.
+  /// Sends what this instance has read from the store to all live members,
+  /// through relays if the fleet uses them.
   void sendSharedRead(const wire::shared_store_read &SharedRead);
   using shared_read_handler =
       std::function<void(const member &, const wire::shared_store_read &)>;
+  /// Called for each shared read of another instance.
   void onSharedRead(shared_read_handler Handler);
 
-  /// Reports on groups, of any number. Call it with setVersion: whoever hears
-  /// of a version must hear of what it is.
+  /// This instance's reports about groups, without a limit on their number.
+  /// Call it together with setVersion: an instance that receives a version must
+  /// also receive what the version consists of.
   void setAllGroupReports(std::vector<wire::group_report> Reports);
 
-  /// What this instance passes on of others beside their ages; see
+  /// What this instance relays about others in addition to their ages; see
   /// membership.
   void setDigests(wire::fleet_digest Zone, wire::fleet_digest Fleet);
-  /// Whether anything of others is passed on.
+  /// Whether the digests that this instance sends list other instances.
   void setRelaysReports(bool Allowed);
 
-  /// Called when a properly signed datagram came from an instance that is not
-  /// listed: the list should be read again.
+  /// Called when a datagram with a valid signature arrives from an instance
+  /// that is not listed: the list should be read again.
   void onUnlistedInstance(std::function<void()> Handler);
 
   bool inContactWithMajority(base::instant Now) const;
   bool majorityKnows(base::config_version Version) const;
 
-  /// Whether this instance may serve now.
+  /// Whether this instance may serve with its configuration; see
+  /// config_freshness.hpp.
   config_freshness configFreshness(base::instant Now);
 
   const peer_traffic &traffic() const;
--- a/packages/control/src/config_changing.cpp
+++ b/packages/control/src/config_changing.cpp
@@ -45,7 +45,7 @@
       const auto Committed =
           co_await storage::commit(Store, std::move(Request));
       Action = onCommitAnswer(Submission, answerOf(Committed));
-      // Random, so that operators who race each other do not keep meeting.
+      // Random, so that concurrent operators do not conflict again and again.
       if (!isEnd(Action))
         co_await pause(randomPause());
       continue;
@@ -63,15 +63,15 @@
 configuration_service::state::change(config_request Request) {
   if (Ports.MayAccept && !Ports.MayAccept())
     co_return failure(errc::StaleConfiguration,
-                      "nothing was changed: this instance does not hear a "
-                      "majority of the fleet");
+                      "nothing was changed: this instance is not in contact "
+                      "with a majority of the fleet");
   submission Submission(std::move(Request), base::randomId());
   const submission_action Action = co_await runSubmission(Submission);
   if (const auto *Refused = std::get_if<config_refused>(&Action))
     co_return Refused->Failure;
   const auto &Accepted = std::get<config_accepted>(Action);
   base::log(log_level::Info, log_part::Configuration,
-            "Version " + std::to_string(Accepted.Version) + " is accepted.");
+            "Accepted version " + std::to_string(Accepted.Version) + ".");
   submitted Submitted;
   Submitted.Version = Accepted.Version;
   Submitted.AlreadyAccepted = Accepted.AlreadyAccepted;
@@ -110,10 +110,10 @@
       }));
 }
 
-/// Guards against a withdrawal whose commit took effect while its answer was
-/// lost: an instance that waits for the answer would serve the key until its
-/// next read, and the operator could not tell. So the key is out of force here
-/// first, and back only when it is proved that nothing was changed.
+/// Guards against a withdrawal whose commit took effect although its answer was
+/// lost: an instance that waited for the answer would serve the key until its
+/// next read, and the operator could not know. So the key is taken out of force
+/// here first, and put back only when it is certain that nothing was changed.
 task<result<submitted>>
 configuration_service::state::withdraw(std::string KeyId) {
   RunningWithdrawals.insert(KeyId);
@@ -139,7 +139,7 @@
   RunningWithdrawals.erase(KeyId);
   if (Withdrawn)
     base::log(log_level::Info, log_part::Configuration,
-              "A withdrawal of unknown outcome was completed.");
+              "Completed a key withdrawal whose outcome was unknown.");
 }
 
 void configuration_service::state::startWithdrawals() {
--- a/packages/control/src/config_freshness.cpp
+++ b/packages/control/src/config_freshness.cpp
@@ -30,11 +30,11 @@
                                  *Store.HeadReadAt);
   if (State.CurrentAsOf && Now - *State.CurrentAsOf <= State.Limits.MaxAge)
     return config_freshness::Current;
-  // Somebody saw a version that is not in force here: whatever it withdraws
-  // must stop, also when the store has gone down since.
+  // Another instance has read a version that is not in force here: what that
+  // version withdraws must stop, even if the store has gone down since.
   const bool Behind =
       State.Limits.StopOnHigherHead && Version < Store.HeadVersion;
-  // Cut off together with a minority, we would not hear of an acceptance.
+  // In a minority partition this instance would not learn of an acceptance.
   const bool Majority =
       !State.Limits.RequireMajority || inContactWithMajority(Membership, Now);
   const bool Outage = State.CurrentAsOf && Store.ReadAt && Majority && !Behind;
--- a/packages/control/src/config_in_force.cpp
+++ b/packages/control/src/config_in_force.cpp
@@ -12,8 +12,9 @@
 } // namespace
 
 bool applyVersion(config_in_force &InForce, configuration Accepted) {
-  // Guards against a late or crossed answer of the store, which would put an
-  // older sheet back: withdrawn keys would work again. Versions only grow.
+  // Guards against a late or reordered answer of the store, which would put an
+  // older sheet back in force, so that withdrawn keys work again. Versions only
+  // grow.
   if (InForce.Configuration &&
       InForce.Configuration->Version >= Accepted.Version)
     return false;
--- a/packages/control/src/config_reading.cpp
+++ b/packages/control/src/config_reading.cpp
@@ -30,8 +30,8 @@
   const auto Head = headOf(Rows->front());
   if (!Head)
     co_return Head.error();
-  // The time of the question, not of the answer: something may have been
-  // accepted while the answer was on its way.
+  // The send time, not the time of the answer: a change may have been accepted
+  // while the answer was in transit.
   LastStoreAnswer = std::max(LastStoreAnswer.value_or(Sent), Sent);
   if (Ports.NoteStoreRead)
     Ports.NoteStoreRead(Sent, base::now(), Head->Version);
@@ -93,7 +93,7 @@
     apply(std::move(*Accepted));
   else
     base::log(log_level::Error, log_part::Configuration,
-              "The store's sheet is not valid here: " +
+              "The sheet in the store is not valid: " +
                   base::describe(Accepted.error()) + ".");
 }
 
--- a/packages/control/src/config_state.hpp
+++ b/packages/control/src/config_state.hpp
@@ -9,7 +9,7 @@
 #include <random>
 #include <set>
 
-/// The inside of configuration_service.
+/// Implementation of configuration_service.
 namespace redwinggw::control {
 
 struct configuration_service::state : std::enable_shared_from_this<state> {
@@ -18,21 +18,21 @@
       : Executor(std::move(Executor)), Store(Store),
         Options(std::move(Options)), Timer(this->Executor) {}
 
-  // Reading; each notes what it learnt about the store.
+  // Reads; each records what the answer says about the store.
   base::task<base::result<config_head>> readHead();
   base::task<base::result<std::vector<accepted_sheet>>>
   readSheets(std::vector<base::config_version> Versions);
   base::task<base::result<config_state>>
   readState(const submission &Submission);
-  /// Brings the head's version into force when it is newer.
+  /// Puts the head's version in force if it is newer.
   base::task<void> refresh();
   base::task<void> refreshLoop();
 
-  // Changing.
-  /// Carries out the actions of \p Submission until it ends.
+  // Changes.
+  /// Performs the actions of \p Submission until it ends.
   base::task<submission_action> runSubmission(submission &Submission);
-  /// Runs \p Request to its end, brings it into force here, and waits for the
-  /// other instances.
+  /// Runs \p Request to its end, puts the new version in force here, and waits
+  /// for the other instances.
   base::task<base::result<submitted>> change(config_request Request);
   base::task<base::result<submitted>> withdraw(std::string KeyId);
   base::task<void> finishWithdrawal(std::string KeyId);
@@ -55,12 +55,12 @@
   configuration EmptyConfiguration;
   std::vector<std::function<void(const configuration &)>> Callbacks;
   std::optional<base::instant> LastStoreAnswer;
-  /// Withdrawals that are being tried at the moment.
+  /// Key ids of the withdrawals in progress.
   std::set<std::string> RunningWithdrawals;
   std::minstd_rand Random{std::random_device{}()};
-  /// The last read was answered; for one log line a change.
+  /// Whether the last read was answered; logged only when it changes.
   bool StoreAnswers = true;
-  /// A read was asked for while one was on its way.
+  /// A read was requested while another one was in progress.
   bool ReadAgain = false;
   bool Stopped = false;
 };
--- a/packages/control/src/config_submission.cpp
+++ b/packages/control/src/config_submission.cpp
@@ -80,9 +80,9 @@
                                        std::to_string(MadeFrom) +
                                        ", but the newest is " +
                                        std::to_string(State.Head.Version));
-  // Guards against an operator who repeats a sheet because the answer was lost
-  // and would be told that somebody else's change came first: only the version
-  // after MadeFrom can hold this sheet, and its digest covers all of it.
+  // Guards against reporting a conflict to an operator who submits a sheet
+  // again because the answer was lost: only the version after MadeFrom can hold
+  // this sheet, and its digest covers all of it.
   const accepted_sheet *Next = sheetAt(State, MadeFrom + 1);
   const std::string Digest = base::digestOf(renderSheet(Submitted));
   if (Next != nullptr && Next->Digest == Digest)
@@ -125,7 +125,7 @@
   return commitOf(State, *Next, Submission, WallNow);
 }
 
-/// Turns a plan into an action and remembers a commit that is to be sent.
+/// Converts a plan into an action and stores the commit that is to be sent.
 submission_action actionOf(submission &Submission, config_plan Plan) {
   if (auto *Commit = std::get_if<config_commit>(&Plan)) {
     Submission.Sent = *Commit;
@@ -158,8 +158,8 @@
   const accepted_sheet *Stored = sheetAt(State, Own.Version);
   if (Stored == nullptr)
     return lost_commit_outcome::TooOld;
-  // Guards against a winner's sheet taken for one's own: the id is random and
-  // written in the same commit as the version.
+  // Guards against mistaking another operator's sheet for our own: the id is
+  // random and written in the same commit as the version.
   return Stored->Submission == Own.Submission ? lost_commit_outcome::Accepted
                                               : lost_commit_outcome::Superseded;
 }
@@ -196,8 +196,8 @@
   case lost_commit_outcome::Superseded:
     break;
   }
-  // The head has moved, so the commit sent before can never take effect and a
-  // new one under the same id cannot double it.
+  // The head has changed, so the earlier commit can never take effect, and a
+  // new one with the same id cannot apply the change twice.
   Submission.Sent.reset();
   return actionOf(Submission, planSubmission(State, Submission.Request,
                                              Submission.Id, WallNow));
@@ -206,8 +206,8 @@
 submission_action onCommitAnswer(submission &Submission, commit_answer Answer) {
   if (Answer == commit_answer::Accepted && Submission.Sent)
     return config_accepted{Submission.Sent->Sheet.Version, false};
-  // A conflict too is read back: it may be one with an earlier try of the same
-  // commit, whose answer was lost.
+  // A conflict is resolved by a read too: it may be a conflict with an earlier
+  // try of the same commit, whose answer was lost.
   return read_config{};
 }
 
--- a/packages/control/src/membership.cpp
+++ b/packages/control/src/membership.cpp
@@ -26,11 +26,11 @@
   return Found ? &*At : nullptr;
 }
 
-/// Whom a heartbeat goes to.
+/// What the receiver of a heartbeat is to this instance.
 enum class heartbeat_kind {
-  /// Another relay.
+  /// Another relay, while this instance is one.
   Relay,
-  /// A relay of this instance.
+  /// A relay that this instance reports to.
   Report,
   /// An instance that reports here.
   Answer,
@@ -43,7 +43,7 @@
   Report.EchoIncarnation = Member.Window.Incarnation;
   Report.EchoSequence = Member.Heartbeat;
   Report.Reports = Kind == heartbeat_kind::Report;
-  // Two that both take themselves for relays find out by an answer.
+  // Two instances that both act as relays learn of each other by an answer.
   const bool Silent = !isInDirectContact(Membership, Member, Now);
   Report.WantsReply =
       Report.Reports || (Kind == heartbeat_kind::Relay && Silent);
@@ -57,7 +57,8 @@
   return Send;
 }
 
-/// When our datagram that \p Report echoes left, if we can tell.
+/// Send time of our datagram that \p Report echoes; empty when it is too old or
+/// not ours.
 std::optional<instant> echoedAt(const membership &Membership,
                                 const wire::peer_report &Report) {
   const bool Ours = Report.EchoIncarnation == Membership.Self.Incarnation &&
@@ -85,7 +86,7 @@
                                                       : member_state::Alive;
 }
 
-/// A member that started again knows nothing of what it knew before.
+/// A restarted member has lost everything that it knew before.
 void forgetFormerIncarnation(member &Member) {
   Member.Heartbeat = 0;
   Member.LastSeenAt.reset();
@@ -166,7 +167,7 @@
 
 bool admitDatagram(membership &Membership, const wire::datagram &Datagram) {
   membership_counters &Counters = Membership.Counters;
-  // A datagram recorded on its way to another instance is signed rightly.
+  // A datagram to another instance that is replayed here has a valid signature.
   if (Datagram.Receiver != Membership.Self.Name) {
     ++Counters.Misaddressed;
     return false;
@@ -197,8 +198,9 @@
                                    const wire::datagram &Datagram,
                                    instant Now) {
   const auto &Report = std::get<wire::peer_report>(Datagram.Body);
-  // The wall clock stepped back over our restart, so the others take what we
-  // send for a former incarnation's. They echo the number to get past.
+  // The wall clock stepped back across our restart, so the others drop our
+  // datagrams as those of an earlier incarnation. Continue above the number
+  // that they echo.
   if (Report.EchoIncarnation > Membership.Self.Incarnation)
     Membership.Self.Incarnation = Report.EchoIncarnation + 1;
   member *Member = findMutable(Membership, Datagram.Sender);
@@ -229,8 +231,8 @@
 
 namespace {
 
-/// Lets one relay, and not each, pass readings of the store on to this
-/// instance: the first that answers.
+/// Requests shared store reads from one relay only: the first in direct
+/// contact.
 void requestSharedReadsFromOne(const membership &Membership,
                                std::vector<peer_send> &Sends, instant Now) {
   if (Membership.Relay)
@@ -248,8 +250,9 @@
 bool isTickDue(const membership &Membership, instant Now) {
   if (!Membership.LastTick)
     return true;
-  // News takes several heartbeats over relays. Whoever does not hear of a
-  // majority can serve little and asks twice as often.
+  // Through relays, state takes several heartbeats to arrive. An instance that
+  // is not in contact with a majority can serve little, so it sends heartbeats
+  // twice as often.
   const bool UsesFastRate =
       usesRelays(Membership) && !inContactWithMajority(Membership, Now);
   const auto Interval = Membership.Limits.Interval / (UsesFastRate ? 2 : 1);
--- a/packages/control/src/membership_reports.cpp
+++ b/packages/control/src/membership_reports.cpp
@@ -16,14 +16,14 @@
       std::clamp<std::int64_t>(Age.count(), 0, std::int64_t{wire::NoAge} - 1));
 }
 
-/// Rounded up: for what must not look younger than it is.
+/// Age, rounded up, for values that must not look more recent than they are.
 wire::age_ms ageAtMost(const std::optional<instant> &At, instant Now) {
   if (!At)
     return wire::NoAge;
   return toAge(std::chrono::ceil<milliseconds>(Now - *At));
 }
 
-/// Rounded down: for what must not look older than it is.
+/// Age, rounded down, for values that must not look older than they are.
 wire::age_ms ageAtLeast(const std::optional<instant> &At, instant Now) {
   if (!At)
     return wire::NoAge;
@@ -34,7 +34,8 @@
   Value = std::max(Value.value_or(Candidate), Candidate);
 }
 
-/// The time of an answer of the store that is \p Age old now, or \p Known.
+/// Raises \p Known to the time of an answer of the store that is \p Age old
+/// now.
 void updateContact(std::optional<instant> &Known, wire::age_ms Age,
                    instant Now) {
   if (Age != wire::NoAge)
@@ -63,8 +64,8 @@
                                 Found - Membership.Members.data())];
 }
 
-/// Takes in what a relay says of \p Member. Ages add up over relays and are
-/// rounded up at each, so what comes by relay never looks younger than it is.
+/// Applies what a relay reports about \p Member. Ages add up over relays and
+/// are rounded up at each, so relayed state never looks more recent than it is.
 void applyRelayedMember(member &Member, const wire::relayed_member &Relayed,
                         const wire::peer_report &Report, instant MadeAt) {
   using enum wire::relayed_fact;
@@ -108,7 +109,7 @@
   const store_observations &Store = Membership.Store;
   wire::peer_report Report = Membership.Local;
   Report.Zone = Membership.Self.Zone;
-  // An answer leaves later than the positions in it were looked up.
+  // An answer is sent later than LocalAt, when its positions were filled in.
   if (Membership.LocalAt != instant::min())
     for (wire::position_report &Position : Report.Positions)
       Position.Age += ageAtMost(Membership.LocalAt, Now);
@@ -122,8 +123,8 @@
 
 namespace {
 
-/// What to pass on of \p Member; nothing when that is too old, or when it may
-/// know what is not known here yet.
+/// The digest entry for \p Member; empty when its last report is too old, or
+/// when it may know a version that is not known here yet.
 std::optional<wire::relayed_member>
 relayedMember(const membership &Membership, const member &Member, instant Now) {
   using enum wire::relayed_fact;
@@ -270,7 +271,7 @@
 }
 
 std::optional<instant> lastStoreContact(const store_observations &Store) {
-  // Nothing is less than any time.
+  // An empty optional compares less than any time.
   return std::max(
       {Store.OwnContactAt, Store.PeerContactAt, Store.TwoHopContactAt});
 }
--- a/packages/control/src/operator_routes.cpp
+++ b/packages/control/src/operator_routes.cpp
@@ -21,15 +21,16 @@
 constexpr std::int64_t DefaultHistory = 20;
 constexpr std::int64_t MaxHistory = 200;
 
-/// A text that must be there and not empty.
+/// The required, non-empty string \p Name.
 result<std::string> textIn(const json::object &Body, std::string_view Name) {
   const json::value *Value = Body.if_contains(Name);
   if (Value == nullptr || !Value->is_string() || Value->get_string().empty())
-    return failure(errc::BadRequest, std::string(Name) + " must be a text");
+    return failure(errc::BadRequest,
+                   std::string(Name) + " must be a non-empty string");
   return std::string(Value->get_string());
 }
 
-/// A whole number of at least 1; \p Default when it is left out.
+/// The integer \p Name, at least 1; \p Default if it is absent.
 result<std::int64_t> numberIn(const json::object &Body, std::string_view Name,
                               std::int64_t Default) {
   const json::value *Value = Body.if_contains(Name);
@@ -37,7 +38,7 @@
     return Default;
   if (!Value->is_int64() || Value->get_int64() < 1)
     return failure(errc::BadRequest,
-                   std::string(Name) + " must be a whole number from 1");
+                   std::string(Name) + " must be an integer of at least 1");
   return Value->get_int64();
 }
 
@@ -116,7 +117,8 @@
   if (!Version)
     co_return Version.error();
   if (*Version == 0 && !Service.hasConfiguration())
-    co_return failure(errc::StaleConfiguration, "the store was not read yet");
+    co_return failure(errc::StaleConfiguration,
+                      "the store has not been read yet");
   if (*Version == 0)
     co_return json::object{{"version", Service.inForce().Version},
                            {"sheet", renderSheet(Service.inForce())}};
@@ -155,7 +157,8 @@
 answer showCustomers(configuration_service &Service) {
   const configuration &Configuration = Service.inForce();
   if (!Service.hasConfiguration())
-    co_return failure(errc::StaleConfiguration, "the store was not read yet");
+    co_return failure(errc::StaleConfiguration,
+                      "the store has not been read yet");
   json::array Customers;
   for (const customer &Customer : Configuration.Customers)
     Customers.push_back(
--- a/packages/control/src/operator_server.cpp
+++ b/packages/control/src/operator_server.cpp
@@ -84,7 +84,7 @@
 
 task<result<json::object>> operator_server::perform(http::request Request) {
   if (!isAuthorized(Request))
-    co_return failure(errc::UnknownKey, "the operators' key is needed");
+    co_return failure(errc::UnknownKey, "the operator key is required");
   if (Request.Target == StatusPath)
     co_return status();
   const auto Route = Routes.find(Request.Target);
@@ -98,7 +98,7 @@
   try {
     co_return co_await Run(std::move(*Body));
   } catch (const std::exception &Error) {
-    // Guards against a fault of one page that would end the whole process.
+    // Guards against an exception of one route that would end the process.
     co_return failure(errc::Internal, Error.what());
   }
 }
--- a/packages/control/src/peer_service.cpp
+++ b/packages/control/src/peer_service.cpp
@@ -22,13 +22,15 @@
 using base::instant;
 using base::milliseconds;
 
-/// Heartbeats are due at multiples of their interval; look more often.
+/// Interval between checks whether heartbeats are due; must be shorter than the
+/// heartbeat interval.
 constexpr milliseconds TickInterval{50};
 /// The largest payload of one UDP datagram.
 constexpr std::size_t MaxDatagram = 65507;
 constexpr std::size_t ReceiveBuffer = std::size_t{1} << 20U;
 
-/// Suspect groups first: when all do not fit, these matter to the detector.
+/// Puts suspect groups first: when not all fit, these matter to the failure
+/// detector.
 std::vector<wire::group_report> bounded(std::vector<wire::group_report> Reports,
                                         std::size_t Limit) {
   std::ranges::stable_partition(Reports, &wire::group_report::Suspect);
@@ -91,8 +93,8 @@
     return base::failure(base::errc::BadSettings, "[listen] peers " +
                                                       toText(Listen) + ": " +
                                                       Error.message());
-  // A burst of heartbeats while this process was not scheduled must fit;
-  // smaller buffers work too, so a refusal is no fault.
+  // The buffer must hold the heartbeats that arrive while this process is not
+  // scheduled. A smaller one works too, so a refusal is not an error.
   Socket.set_option(asio::socket_base::receive_buffer_size(ReceiveBuffer),
                     Error);
   Socket.non_blocking(true, Error);
@@ -119,8 +121,8 @@
   const auto Host = asio::ip::make_address(Send.To.Host, Error);
   if (Error)
     return;
-  // A full buffer or an unreachable host loses the datagram, as the network
-  // may; the next heartbeat or request makes up for it.
+  // A full buffer or an unreachable host loses the datagram, like the network
+  // itself; the next heartbeat or request replaces it.
   Socket.send_to(asio::buffer(Bytes), udp::endpoint(Host, Send.To.Port), 0,
                  Error);
   ++Traffic.SentDatagrams;
@@ -174,7 +176,7 @@
   transmit(std::move(Send));
 }
 
-/// Passes a reading on to the instances that this one relays for.
+/// Relays a shared store read to the instances that this one relays for.
 void peer_service::state::relaySharedRead(
     const member &From, const wire::shared_store_read &SharedRead) {
   if (SharedRead.Relayed)
@@ -224,7 +226,8 @@
   }
 }
 
-/// During an outage the last list stays: nobody can have joined or left it.
+/// Polls the instance list. During an outage of the store the last list stays
+/// valid: nobody can have joined or left it.
 template <typename State> base::task<void> listLoop(State Self) {
   while (!Self->Stopped) {
     const auto Listed = co_await storage::listInstances(Self->Store);
@@ -256,7 +259,7 @@
   if (State->Store.Driver->ListInstances != nullptr)
     asio::co_spawn(State->Executor, listLoop(State), asio::detached);
   base::log(base::log_level::Info, base::log_part::Peers,
-            "Heartbeats start on " + toText(*Address) + ".");
+            "Started heartbeats on " + toText(*Address) + ".");
   return Address;
 }
 
--- a/packages/control/src/relays.cpp
+++ b/packages/control/src/relays.cpp
@@ -10,9 +10,10 @@
 
 using base::instant;
 
-/// Relays of an availability zone.
+/// Number of relays in each availability zone.
 constexpr std::size_t RelaysPerZone = 2;
-/// Members of a zone that are asked while fewer have answered.
+/// Maximum number of members of a zone that are tried as relays while fewer
+/// than RelaysPerZone have answered.
 constexpr std::size_t MaxCandidates = 4;
 
 bool isSkipped(const member &Member, instant Now) {
@@ -24,7 +25,7 @@
          !Member.Report.Leaving;
 }
 
-/// The members of one availability zone, first in rank first.
+/// Indices of the members of one availability zone, highest rank first.
 using zone_members = std::vector<std::size_t>;
 
 std::map<std::string_view, zone_members>
@@ -39,8 +40,8 @@
   return Zones;
 }
 
-/// The relays among \p Indices: from the first in rank on until enough have
-/// answered.
+/// The relays among \p Indices: by rank, until \p Wanted of them are in direct
+/// contact.
 zone_members relaysAmong(const membership &Membership,
                          const zone_members &Indices, std::size_t Wanted,
                          instant Now) {
@@ -58,6 +59,9 @@
   return Relays;
 }
 
+/// Whether this instance is a relay of its zone: of the members that rank
+/// before it, fewer than RelaysPerZone are in direct contact and fewer than
+/// MaxCandidates are being tried.
 bool isZoneRelay(const membership &Membership, const zone_members &Indices,
                  instant Now) {
   const member Self = selfAsMember(Membership);
@@ -119,7 +123,7 @@
     const bool IsOwn = Zone == Membership.Self.Zone;
     if (!IsOwn && !Plan.Relay)
       continue;
-    // A relay is one of its own zone's.
+    // A relay counts itself as one of its zone's relays.
     const std::size_t Wanted =
         IsOwn && Plan.Relay ? RelaysPerZone - 1 : RelaysPerZone;
     std::ranges::copy(relaysAmong(Membership, Indices, Wanted, Now),
--- a/packages/control/src/sheet.cpp
+++ b/packages/control/src/sheet.cpp
@@ -26,12 +26,12 @@
                     std::move(Remedy)});
 }
 
-/// The columns in the order of the header.
+/// The columns in the order in which the header lists them.
 struct column_order {
   std::vector<sheet_column> Columns;
 };
 
-/// Nothing when the header has faults.
+/// Empty when the header has faults.
 std::optional<column_order> columnOrderOf(const csv_row &Header,
                                           faults &Faults) {
   const std::size_t Before = Faults.size();
@@ -44,7 +44,7 @@
                          ? "delete or rename the column"
                          : "export with commas between the cells");
     else if (std::ranges::find(Order.Columns, *Column) != Order.Columns.end())
-      addHeaderFault(Faults, Cell, "stands twice", "delete one of the two");
+      addHeaderFault(Faults, Cell, "occurs twice", "delete one of the two");
     if (Column)
       Order.Columns.push_back(*Column);
   }
--- a/packages/control/src/sheet_cells.cpp
+++ b/packages/control/src/sheet_cells.cpp
@@ -25,7 +25,8 @@
   return static_cast<unsigned char>(Letter) <= Delete;
 }
 
-/// Names go into JSON, which must be UTF-8; Boost.JSON's parser checks it.
+/// Names are written into JSON, which must be UTF-8; Boost.JSON's parser checks
+/// it.
 bool isUtf8(const std::string &Text) {
   if (std::ranges::all_of(Text, isAscii))
     return true;
@@ -118,7 +119,7 @@
       Digest.find_first_not_of("0123456789abcdef") == std::string::npos;
   if (Digest.size() == DigestLength && Hex)
     return Digest;
-  // The cell is not repeated: somebody may have pasted the key itself.
+  // The message omits the cell: an operator may have pasted the key itself.
   addFault(Faults, Row, sheet_column::Digest,
            Digest.empty() ? "is missing" : "is not a digest",
            "64 hexadecimal digits",
--- a/packages/control/src/sheet_cells.hpp
+++ b/packages/control/src/sheet_cells.hpp
@@ -44,7 +44,7 @@
   std::array<std::string, ColumnNames.size()> Cells;
 };
 
-/// Limits of a number in a cell, both included.
+/// Inclusive limits of a number in a cell.
 template <typename Number> struct cell_range {
   Number Min;
   Number Max;
@@ -56,8 +56,8 @@
               sheet_column Column, std::string Problem, std::string Allowed,
               std::string Remedy);
 
-// Each of these adds a fault and gives a value that is not to be used when
-// the cell does not hold what is allowed.
+// Each of these returns the value of a cell. When the cell is not valid, it
+// adds a fault and returns a value that must not be used.
 std::string nameIn(const sheet_row &Row, sheet_column Column,
                    std::vector<sheet_fault> &Faults);
 double decimalIn(const sheet_row &Row, sheet_column Column,
--- a/packages/control/src/sheet_check.cpp
+++ b/packages/control/src/sheet_check.cpp
@@ -21,7 +21,7 @@
   return Names;
 }
 
-/// Reports each row whose \p Project value an earlier row has too.
+/// Reports each row whose \p Project value occurs in an earlier row.
 template <typename Declared, typename Projection>
 void checkUnique(const std::vector<parsed_row<Declared>> &Rows,
                  Projection Project, sheet_column Column, faults &Faults) {
@@ -33,12 +33,12 @@
         First.emplace(std::invoke(Project, Row.Value), Row.Row->Number);
     if (!New)
       addFault(Faults, *Row.Row, Column,
-               "stands in row " + std::to_string(Seen->second) + " too",
-               "each one once", "delete or rename one of the two rows");
+               "occurs in row " + std::to_string(Seen->second) + " too",
+               "each value once", "delete or rename one of the two rows");
   }
 }
 
-/// Reports each row whose \p Project value is not among \p Known.
+/// Reports each row whose \p Project value is not in \p Known.
 template <typename Declared, typename Projection>
 void checkKnown(const std::vector<parsed_row<Declared>> &Rows,
                 Projection Project, const names &Known, const std::string &Kind,
@@ -60,7 +60,7 @@
     Faults.push_back({0, "", "there is no row of kind sheet",
                       "one row `sheet,VERSION`",
                       "add it with the version that the sheet was made from, "
-                      "0 for the first"});
+                      "or 0 for the first sheet"});
   for (std::size_t Index = 1; Index < Content.MadeFrom.size(); ++Index)
     addFault(Faults, *Content.MadeFrom[Index].Row, Kind,
              "there are several rows of kind sheet", "one",
--- a/packages/control/src/sheet_csv.cpp
+++ b/packages/control/src/sheet_csv.cpp
@@ -9,7 +9,7 @@
 constexpr std::string_view QuoteRemedy =
     "put the whole cell in quotes and double each quote inside it";
 
-/// Where the reader stands in the text.
+/// The rest of the text and the number of the current row.
 struct csv_reader {
   std::string_view Rest;
   std::size_t RowNumber = 1;
@@ -44,7 +44,7 @@
     Cell += Reader.Rest.substr(0, Quote);
     if (Quote == std::string_view::npos) {
       Reader.Rest = {};
-      Faults.push_back({Reader.RowNumber, "", "a quoted cell has no end",
+      Faults.push_back({Reader.RowNumber, "", "a quoted cell is not closed",
                         "a closing quote", std::string(QuoteRemedy)});
       return Cell;
     }
--- a/packages/control/src/sheet_render.cpp
+++ b/packages/control/src/sheet_render.cpp
@@ -9,7 +9,7 @@
 
 using enum sheet_column;
 
-/// The shortest text that reads back as the same number.
+/// The shortest text that parses to the same number.
 std::string textOf(double Number) {
   constexpr std::size_t Longest = 32;
   std::array<char, Longest> Buffer{};
--- a/packages/control/src/sheet_rows.cpp
+++ b/packages/control/src/sheet_rows.cpp
@@ -72,7 +72,7 @@
   Content.Endpoints.push_back({std::move(Endpoint), &Row});
 }
 
-/// A kind of row: the columns besides kind that it fills, and how to read it.
+/// A kind of row: the columns that it uses besides kind, and its parser.
 struct row_kind {
   std::string_view Name;
   std::vector<sheet_column> Columns;
@@ -97,7 +97,7 @@
         Column == sheet_column::Kind ||
         std::ranges::find(Kind.Columns, Column) != Kind.Columns.end();
     if (!Used && !cellOf(Row, Column).empty())
-      addFault(Faults, Row, Column, "is filled in",
+      addFault(Faults, Row, Column, "is not empty",
                "nothing in a row of kind " + std::string(Kind.Name),
                "empty the cell, or move it to the row that it belongs to");
   }
--- a/packages/control/src/sheet_rows.hpp
+++ b/packages/control/src/sheet_rows.hpp
@@ -2,11 +2,10 @@
 
 #include "sheet_cells.hpp"
 
-/// What the rows of a sheet declare, before they are checked against each
-/// other.
+/// What the rows of a sheet declare, before cross-row validation.
 namespace redwinggw::control {
 
-/// Something declared, with the row that declares it.
+/// A parsed value with the row that declares it.
 template <typename Declared> struct parsed_row {
   Declared Value;
   const sheet_row *Row = nullptr;
@@ -21,12 +20,12 @@
   std::vector<parsed_row<endpoint>> Endpoints;
 };
 
-/// Reads the cells of \p Rows; \p Rows must outlive the content.
+/// Parses the cells of \p Rows; \p Rows must outlive the content.
 sheet_content contentOf(const std::vector<sheet_row> &Rows,
                         std::vector<sheet_fault> &Faults);
 
-/// Reports what stands twice, what is referred to and not declared, and what
-/// the sheet as a whole lacks.
+/// Reports duplicates, references to undeclared names, and rows that the sheet
+/// must have but lacks or has several times.
 void checkContent(const sheet_content &Content,
                   std::vector<sheet_fault> &Faults);
 
--- a/packages/wire/include/redwinggw/wire/fleet_digest.hpp
+++ b/packages/wire/include/redwinggw/wire/fleet_digest.hpp
@@ -4,32 +4,32 @@
 #include <string>
 #include <vector>
 
-/// What a relay passes on about other instances; docs/PEERS.md states the
+/// What a relay reports about other instances; docs/PEERS.md specifies the
 /// protocol.
 namespace redwinggw::wire {
 
-/// What is known of an instance beside its age; bits of relayed_member::Facts.
+/// Flags of an instance; bits of relayed_member::Facts.
 enum class relayed_fact : std::uint8_t {
   /// It has read the store since its start.
   ReadStoreSinceStart = 1,
-  /// It knows the HeadVersion of the report that carries this.
+  /// It knows the HeadVersion of the report that carries this digest.
   KnowsHead = 2,
-  /// Its version in force is the one of that report or a later one.
+  /// Its version in force is the Version of that report or a later one.
   KnowsVersion = 4,
-  /// It had an answer of the store lately.
+  /// It received an answer from the store recently.
   RecentStoreContact = 8,
-  /// Its demand is part of the digest's sums.
+  /// Its demand is included in the digest's sums.
   Counted = 16,
   Leaving = 32,
-  /// It has gathered rates for a while.
+  /// It has used centralized buckets for a while.
   CentralizesBuckets = 64,
 };
 
-/// Another instance, as the sender knows it.
+/// What the sender knows of another instance.
 struct relayed_member {
   /// hashOf the instance's name.
   std::uint32_t Instance = 0;
-  /// What it said last was said at most so long ago, in steps of AgeStepMs,
+  /// Upper bound of the age of its latest report, in steps of AgeStepMs,
   /// rounded up.
   std::uint8_t Age = 0;
   std::uint8_t Facts = 0;
@@ -46,39 +46,43 @@
   return (Member.Facts & static_cast<std::uint8_t>(Fact)) != 0;
 }
 
-/// Notes \p Fact of \p Member if \p Holds.
+/// Sets \p Fact of \p Member if \p Holds; never clears it.
 constexpr void setFact(relayed_member &Member, relayed_fact Fact, bool Holds) {
   const auto Bit = static_cast<std::uint8_t>(Fact);
   if (Holds)
     Member.Facts = static_cast<std::uint8_t>(Member.Facts | Bit);
 }
 
-/// What several instances need of a customer's rate.
+/// The demand of several instances for a customer's rate.
 struct demand_sum {
   /// hashOf the customer's name.
   std::uint32_t Customer = 0;
-  /// Operations a second of those that are heard.
+  /// Operations per second of the instances in contact.
   float Rate = 0;
 
   friend bool operator==(const demand_sum &, const demand_sum &) = default;
 };
 
-/// The part of a customer's rate that stays with instances that are silent.
+/// The share of a customer's rate that stays reserved for instances that are
+/// not in contact ("silent").
 struct silent_sum {
   /// hashOf the customer's name.
   std::uint32_t Customer = 0;
-  /// Their demand when they were heard last.
+  /// Their demand in their last reports.
   float Rate = 0;
+  /// Their share.
   float Reserved = 0;
-  /// What of Reserved is of instances that have been silent for long.
+  /// The part of Reserved that belongs to instances silent for a long time.
   float LongSilent = 0;
 
   friend bool operator==(const silent_sum &, const silent_sum &) = default;
 };
 
-/// Sums over several instances. An instance that is in no list has no demand.
+/// Demand sums over several instances. A customer in neither list has no
+/// demand.
 struct demand_digest {
-  /// How many instances the sums hold, and how many were never heard.
+  /// Number of instances included in the sums, and number of instances that
+  /// have never reported.
   std::uint16_t Contributors = 0;
   std::uint16_t NeverSeen = 0;
   std::vector<demand_sum> Sums;
@@ -88,7 +92,7 @@
                          const demand_digest &) = default;
 };
 
-/// How many instances cannot work with a group's primary.
+/// Number of instances that cannot use a group's primary.
 struct suspicion_count {
   std::string Group;
   std::string Primary;
@@ -98,7 +102,7 @@
                          const suspicion_count &) = default;
 };
 
-/// Whom a digest is about.
+/// Which instances a digest covers.
 enum class digest_scope : std::uint8_t {
   None,
   /// The instances of the sender's availability zone that report to it.
--- a/packages/wire/include/redwinggw/wire/signature.hpp
+++ b/packages/wire/include/redwinggw/wire/signature.hpp
@@ -10,9 +10,8 @@
 /// Appends a keyed digest to \p Payload. Thread safe.
 std::string sign(std::string_view FleetKey, std::string Payload);
 
-/// The payload of \p Datagram, or nothing when its digest is not right: it was
-/// cut short, changed on the way, or sent by somebody without the key.
-/// Thread safe.
+/// The payload of \p Datagram, or nothing when its digest does not match: it
+/// was truncated, modified, or sent by somebody without the key. Thread safe.
 std::optional<std::string_view> verify(std::string_view FleetKey,
                                        std::string_view Datagram);
 
--- a/packages/wire/src/message.cpp
+++ b/packages/wire/src/message.cpp
@@ -11,11 +11,12 @@
 namespace redwinggw::wire {
 namespace {
 
-/// Bumped when the form of a datagram changes; others are dropped.
+/// Incremented when the datagram format changes; datagrams of other versions
+/// are dropped.
 constexpr std::uint8_t FormatVersion = 6;
 
-/// Strings and lists travel with a length of 1 or 2 bytes: cereal's own take
-/// 8, which is most of a small heartbeat.
+/// Strings and lists are preceded by a length of 1 or 2 bytes. The length that
+/// cereal writes takes 8, which would be most of a small heartbeat.
 template <typename Archive>
 void archiveText(Archive &Out, const std::string &Text) {
   const auto Length = static_cast<std::uint8_t>(std::min<std::size_t>(
@@ -112,9 +113,9 @@
 void archiveSharedRead(Archive &In, shared_store_read &Value) {
   std::uint32_t Length = 0;
   In(Value.Kind, Value.Relayed, Length);
-  // A length beyond what a datagram can hold comes from a damaged one.
+  // A length beyond what a datagram can hold means a corrupt datagram.
   if (Length > MaxSharedRead)
-    throw cereal::Exception("a reading is too long");
+    throw cereal::Exception("shared store read is too long");
   Value.Text.resize(Length);
   In(cereal::binary_data(Value.Text.data(), Length));
 }
@@ -149,9 +150,9 @@
   std::uint8_t Kind = 0;
   In(Format, Kind);
   if (Format != FormatVersion)
-    throw cereal::Exception("format");
+    throw cereal::Exception("unknown format version");
   datagram Datagram;
-  // The place of the body's type in the variant.
+  // Indices of the body's types in the variant.
   constexpr std::uint8_t ShareKind = 1;
   constexpr std::uint8_t SharedReadKind = 2;
   if (Kind == ShareKind)
--- a/packages/wire/src/signature.cpp
+++ b/packages/wire/src/signature.cpp
@@ -5,8 +5,8 @@
 namespace redwinggw::wire {
 namespace {
 
-/// HMAC-SHA-256 cut to 128 bits, as RFC 4868 does: no weaker against forgery
-/// online, and a heartbeat is a tenth shorter.
+/// HMAC-SHA-256 truncated to 128 bits, as in RFC 4868: no weaker against online
+/// forgery, and a heartbeat is a tenth shorter.
 constexpr std::size_t DigestBytes = 16;
 
 std::string digest(std::string_view FleetKey, std::string_view Payload) {
--- a/tests/control/config_fixture.hpp
+++ b/tests/control/config_fixture.hpp
@@ -11,12 +11,13 @@
 #include <boost/asio/steady_timer.hpp>
 #include <boost/asio/use_awaitable.hpp>
 
-/// A platform stand-in and instances' configuration services in one process.
+/// A stand-in for the platform and the configuration services of two instances,
+/// in one process.
 namespace redwinggw::testing {
 
 constexpr const char *FleetKey = "fleet";
 
-/// Where the way to the store is cut.
+/// At which point requests to the store are lost.
 enum class store_cut { None, All, BeforeCommit, AfterCommit };
 
 struct config_fixture {
@@ -35,7 +36,7 @@
     Options.FleetKey = FleetKey;
     Options.RefreshInterval = base::milliseconds(5);
     Options.RetryPause = base::milliseconds(2);
-    // Longer than any stall of a busy machine: only cuts may use it up.
+    // Longer than any stall of a busy machine, so that only cuts reach it.
     Options.SubmitTimeout = base::milliseconds(5000);
     return std::make_unique<control::configuration_service>(
         Context.get_executor(), Store, Options);
@@ -47,7 +48,7 @@
     return Response;
   }
 
-  /// Cuts hit commits once they are asked for, and everything after them.
+  /// A cut at the commit also loses all requests after it.
   base::task<http::response> handle(http::request Request) {
     const bool Commits = Request.Target == "/table/commit";
     if (Cut == store_cut::All || (Commits && Cut == store_cut::BeforeCommit)) {
@@ -62,7 +63,7 @@
     co_return noAnswer();
   }
 
-  /// Waits for \p Holds; the test hangs into its timeout when it never does.
+  /// Waits until \p Holds; if it never does, the test runs into its timeout.
   template <typename Condition> base::task<void> until(Condition Holds) {
     while (!Holds()) {
       boost::asio::steady_timer Timer(Context, base::milliseconds(1));
@@ -70,7 +71,7 @@
     }
   }
 
-  /// Runs \p Scenario with both services started, then stops all.
+  /// Runs \p Scenario with both services started, then stops everything.
   template <typename Coroutine> void run(Coroutine Scenario) {
     Left->start();
     Right->start();
--- a/tests/control/config_freshness_test.cpp
+++ b/tests/control/config_freshness_test.cpp
@@ -45,9 +45,9 @@
             config_freshness::Current);
 }
 
-// One instance loses the store, a key is withdrawn, and the relay of the new
-// version to that instance fails. Its callers would go on with the key: it
-// learns of the new head from its peers and must stop.
+// One instance cannot reach the store, a key is withdrawn, and the new version
+// does not reach that instance. Its callers could go on using the key: the
+// instance learns of the new head from its peers and must stop serving.
 Test(config_freshness, an_instance_behind_a_head_that_peers_saw_stops) {
   fleet Fleet = makeFleet(5);
   run(Fleet, Settle);
@@ -83,9 +83,9 @@
             config_freshness::Outage);
 }
 
-// The network splits 3 to 2 and the store comes back for the side of 3 only.
-// A withdrawal is accepted there. The side of 2 hears nothing of it and must
-// have stopped; with the guard off it serves on.
+// The network is partitioned 3 to 2 and the store comes back for the side of 3
+// only. A withdrawal is accepted there. The side of 2 does not learn of it and
+// must have stopped serving; without the guard it goes on.
 Test(config_freshness,
      a_minority_stops_when_the_store_is_back_for_the_majority) {
   for (const bool Guarded : {true, false}) {
@@ -106,8 +106,8 @@
   }
 }
 
-// The same split, but the store comes back for the side of 2. What is
-// accepted there is never confirmed, so the majority may go on.
+// The same partition, but the store comes back for the side of 2. A change
+// accepted there is never confirmed, so the majority may go on serving.
 Test(config_freshness, a_minority_that_sees_the_store_cannot_confirm) {
   fleet Fleet = makeFleet(5);
   run(Fleet, Settle);
@@ -121,9 +121,9 @@
 }
 
 // A withdrawal is accepted and confirmed while instance 4 is cut off; then the
-// store goes down for all and 4 is back. It hears a majority and nobody reads
-// the store, yet its version was replaced: it must not take this for an
-// outage without changes.
+// store goes down for all and 4 is reconnected. It is in contact with a
+// majority and nobody can read the store, but its version is outdated: it must
+// not mistake this for an outage without changes.
 Test(config_freshness, an_outage_right_after_an_acceptance_does_not_hide_it) {
   for (const bool Guarded : {true, false}) {
     config_freshness_limits Limits;
@@ -145,10 +145,10 @@
   }
 }
 
-// Three of five know of a withdrawal; they are replaced one after another by
-// instances that start during the outage and know nothing. Instance 4 missed
-// the withdrawal. If the new ones counted as heard, it would hear a majority
-// that knows no higher head and serve on.
+// Three of five instances know of a withdrawal; they are replaced one after
+// another by instances that start during the outage and know nothing. Instance
+// 4 missed the withdrawal. If the new instances counted as in contact, it would
+// see a majority that knows no higher head, and go on serving.
 Test(config_freshness, instances_that_never_read_the_store_give_no_majority) {
   for (const bool Guarded : {true, false}) {
     membership_limits Limits;
@@ -176,9 +176,10 @@
   }
 }
 
-// An instance is stopped by a signal for 10 s. When it wakes, the heartbeats
-// of that time wait in its socket. Taken for fresh, they show a majority and
-// a proof that are 10 s old, and a withdrawn key works again.
+// An instance is paused by a signal for 10 s. When it resumes, the heartbeats
+// of that time are queued in its socket. If they counted as recent, they would
+// prove a majority and a read of the store that are 10 s old, and a withdrawn
+// key would work again.
 Test(config_freshness, heartbeats_that_waited_through_a_pause_prove_nothing) {
   for (const bool Guarded : {true, false}) {
     membership_limits Limits;
@@ -200,10 +201,10 @@
   }
 }
 
-// Beyond 16 others instances hear most by relay. The store is down for all;
-// then the network splits and the store is back for the larger side only.
-// Relayed signs that looked younger than they are would let the smaller side
-// serve on after a withdrawal.
+// With more than 16 others, instances receive most reports through relays. The
+// store is down for all; then the network is partitioned and the store is back
+// for the larger side only. Relayed reports that looked more recent than they
+// are would let the smaller side go on serving after a withdrawal.
 Test(config_freshness, a_minority_of_a_large_fleet_stops_too) {
   constexpr std::size_t Count = 40;
   constexpr std::size_t Larger = 25;
--- a/tests/control/config_in_force_test.cpp
+++ b/tests/control/config_in_force_test.cpp
@@ -31,8 +31,8 @@
 
 } // namespace
 
-// A withdrawn key works again for a while: two reads of the store crossed, and
-// the answer with the older sheet came last.
+// Guards against a withdrawn key that works again for a while: two reads of the
+// store overlap, and the answer with the older sheet arrives last.
 Test(config_in_force, a_late_answer_never_puts_an_older_version_back) {
   std::vector<base::config_version> Order{1, 2, 3, 4};
   do {
@@ -51,9 +51,9 @@
   cr_assert(!config_in_force().Configuration.has_value());
 }
 
-// An operator withdraws a key and the store's answer is lost. The key must
-// stop here at once, and stay so when another operator's sheet, which still
-// holds the key, is accepted in between.
+// An operator withdraws a key and the store's answer is lost. The key must stop
+// working here at once, also when a sheet of another operator that still holds
+// the key is accepted in between.
 Test(config_in_force, a_key_being_withdrawn_stays_out_of_force) {
   config_in_force InForce;
   applyVersion(InForce, withKeys(1, {"k1", "k2"}));
--- a/tests/control/config_service_test.cpp
+++ b/tests/control/config_service_test.cpp
@@ -77,8 +77,9 @@
 
 } // namespace
 
-// The store takes a sheet, but its answer is lost. The operator would be told
-// "conflict" on the repeat, or the sheet would be accepted twice.
+// The store accepts a sheet, but its answer is lost. Guards against reporting a
+// conflict to the operator who submits it again, and against accepting the
+// sheet twice.
 Test(config_service, a_lost_answer_is_resolved_by_reading_back) {
   config_fixture Fleet;
   Fleet.run([&] { return repeatAfterLostAnswer(Fleet); });
@@ -100,9 +101,9 @@
 
 } // namespace
 
-// An operator withdraws a key while the store breaks down, before or after the
-// commit took effect. The operator is told that the outcome is unknown; the
-// key must stop here at once, and everywhere when the store is back.
+// An operator withdraws a key while the store fails, before or after the commit
+// took effect. The outcome is reported as unknown; the key must stop working
+// here at once, and everywhere when the store is back.
 Test(config_service,
      a_withdrawal_of_unknown_outcome_is_in_force_and_completed) {
   for (const store_cut Cut :
@@ -144,8 +145,8 @@
 
 } // namespace
 
-// An instance restarts while the store is down. It has nothing in force and
-// must not take an empty configuration for the real one.
+// An instance restarts while the store is down. It has nothing in force, and
+// must not mistake an empty configuration for the accepted one.
 Test(config_service, nothing_is_in_force_before_the_store_was_read) {
   config_fixture Fleet;
   Fleet.Cut = store_cut::All;
@@ -164,7 +165,8 @@
 
 } // namespace
 
-// Guards against accepting a change that nobody could confirm to be in force.
+// Guards against accepting a change that no majority can confirm to be in
+// force.
 Test(config_service, without_a_majority_nothing_is_accepted) {
   config_fixture Fleet;
   control::configuration_ports Ports;
--- a/tests/control/config_submission_test.cpp
+++ b/tests/control/config_submission_test.cpp
@@ -13,12 +13,12 @@
 
 namespace {
 
-/// The table service, in memory.
+/// An in-memory table service.
 struct table {
   std::map<std::string, storage::row> Rows;
   std::uint64_t LastVersion = 0;
-  /// Off, it commits whatever its conditions: the guard that the race test
-  /// shows to be needed.
+  /// If false, commits ignore their conditions. The race test uses this to show
+  /// that the conditions are necessary.
   bool ChecksConditions = true;
 };
 
@@ -77,14 +77,14 @@
   return finish(Table, Submission);
 }
 
-/// What may happen to one commit on its way.
+/// What may happen to one commit in transit.
 enum class fate { Answered, AnswerLost, RequestLost, Late };
 
 /// One operator in the race.
 struct racer {
   submission Submission;
   submission_action Next = read_config{};
-  /// A commit that is still on its way.
+  /// A commit that is still in transit.
   std::optional<storage::commit_request> InFlight;
   unsigned Faults = 1;
 
@@ -92,7 +92,7 @@
       : Submission(std::move(Request), std::move(Id)) {}
 };
 
-/// Everything about a race; copied at each branch of the search.
+/// The whole state of a race; copied at each branch of the search.
 struct race {
   table Table;
   std::vector<racer> Racers;
@@ -131,7 +131,7 @@
 }
 
 /// Calls \p Check at the end of each run that can follow from \p Race, until it
-/// answers false.
+/// returns false.
 template <typename Callback> bool explore(const race &Race, Callback Check) {
   bool Ended = true;
   for (std::size_t Index = 0; Index < Race.Racers.size(); ++Index) {
@@ -180,7 +180,8 @@
          InForce.Keys.end();
 }
 
-/// True when all ends of a race of two sheets made from one version are right.
+/// True when every possible end of a race of two sheets made from the same
+/// version is correct.
 bool allEndsRight(bool ChecksConditions, unsigned &Ends) {
   race Race;
   submitSheet(Race.Table, withCustomers(0, {"a"}), "first");
@@ -203,9 +204,10 @@
 
 } // namespace
 
-// Two operators submit sheets made from the same version. Both see "accepted",
-// but one sheet is gone. Both read the head before either wrote, and answers
-// get lost on the way, so one repeats a commit that has taken effect.
+// Guards against two operators who submit sheets made from the same version and
+// both see "accepted", while one sheet is lost. Both read the head before
+// either writes, and answers are lost, so one repeats a commit that has taken
+// effect.
 Test(config_submission, of_two_racing_sheets_one_wins_whatever_is_lost) {
   unsigned Ends = 0;
   cr_assert(allEndsRight(true, Ends));
@@ -213,9 +215,9 @@
   cr_assert(!allEndsRight(false, Ends));
 }
 
-// An operator withdraws a key while another gives one. The withdrawal is
-// reported accepted, yet the key works: the gift was built on what was in
-// force before and put the key back.
+// An operator withdraws a key while another adds one. Guards against a
+// withdrawal that is reported as accepted although the key still works, because
+// the addition was based on the version before and put the key back.
 Test(config_submission, racing_key_changes_both_take_effect) {
   race Race;
   submitSheet(Race.Table, withCustomers(0, {"a"}), "first");
@@ -232,8 +234,8 @@
   });
 }
 
-// The answer to a submission was lost and somebody else has changed more since.
-// The operator submits the same sheet again and must not be told that it lost.
+// The answer to a submission was lost, and another operator has made further
+// changes since. Submitting the same sheet again must not report a conflict.
 Test(config_submission, a_repeated_sheet_is_recognised_after_later_changes) {
   table Table;
   submitSheet(Table, withCustomers(0, {"a"}), "first");
--- a/tests/control/membership_fleet.hpp
+++ b/tests/control/membership_fleet.hpp
@@ -10,8 +10,8 @@
 #include <string>
 #include <vector>
 
-/// Several memberships in one test, with passed-in time and links that the
-/// test cuts.
+/// Several memberships in one test, with simulated time and links that the test
+/// can cut.
 namespace redwinggw::control::testing {
 
 using base::instant;
@@ -29,7 +29,7 @@
   std::vector<fleet_instance> Instances;
   base::config_version Head = 1;
   instant Now{milliseconds(1'000'000)};
-  /// True: datagrams from the first to the second arrive.
+  /// Whether datagrams from the first to the second instance arrive.
   std::function<bool(std::size_t, std::size_t)> Connected =
       [](std::size_t, std::size_t) { return true; };
 };
@@ -66,7 +66,8 @@
   return Fleet;
 }
 
-/// Delivers at once along the links that are up, with the replies.
+/// Delivers datagrams, and the replies to them, at once over the links that are
+/// up.
 inline void deliver(fleet &Fleet, std::vector<peer_send> Sends) {
   for (const peer_send &Send : Sends) {
     const std::size_t From = indexOf(Send.Datagram.Sender);
@@ -79,8 +80,8 @@
   }
 }
 
-/// Lets \p Time pass: heartbeats, and a read of the store every 250 ms, after
-/// which the version read is in force.
+/// Simulates \p Time: heartbeats, and a read of the store every 250 ms that
+/// puts the version read in force.
 inline void run(fleet &Fleet, milliseconds Time) {
   constexpr milliseconds Step{50};
   constexpr milliseconds ReadInterval{250};
@@ -107,7 +108,8 @@
                                  Instance.Version, Fleet.Now);
 }
 
-/// Runs on and judges every 50 ms, as the shell does.
+/// Runs for \p Time and evaluates the freshness every 50 ms, as an instance
+/// does.
 inline config_freshness evaluateAfter(fleet &Fleet, std::size_t Index,
                                       milliseconds Time) {
   constexpr milliseconds Step{50};
--- a/tests/control/membership_test.cpp
+++ b/tests/control/membership_test.cpp
@@ -48,8 +48,9 @@
   cr_assert(stateSeen(Fleet, 1, 2) == member_state::Leaving);
 }
 
-// One direction of a link is cut: 0 still gets the heartbeats of 1, but 1 gets
-// none of 0's. A majority counted on such a link would not know what 0 does.
+// One direction of a link is cut: 0 still receives the heartbeats of 1, but 1
+// receives none from 0. A majority counted over such a link would not know what
+// 0 does.
 Test(membership, a_link_that_works_one_way_does_not_count_as_heard) {
   fleet Fleet = makeFleet(2);
   run(Fleet, milliseconds(1000));
@@ -59,9 +60,9 @@
   cr_assert(!inContactWithMajority(Fleet.Instances[0].Membership, Fleet.Now));
 }
 
-// An instance starts again after its wall clock stepped back, so its
-// incarnation is lower than the last one and all drop what it sends. It would
-// stay unheard for ever.
+// An instance restarts after its wall clock stepped back, so its incarnation is
+// lower than the last one and the others drop its datagrams. It would never be
+// in contact again.
 Test(membership, an_instance_whose_clock_stepped_back_is_heard_again) {
   fleet Fleet = makeFleet(3);
   run(Fleet, milliseconds(1000));
@@ -96,7 +97,8 @@
   cr_assert(Receiver.Counters.Misaddressed == 1);
 }
 
-// Guards against a large fleet in which a part is not heard of.
+// Guards against a large fleet in which reports of some instances do not
+// arrive.
 Test(membership, a_large_fleet_hears_a_majority_by_relay) {
   fleet Fleet = makeFleet(64);
   run(Fleet, milliseconds(3000));
@@ -112,10 +114,10 @@
       cr_assert(stateSeen(Fleet, Index, 9) == member_state::Dead);
 }
 
-// A third instance joins right before the list cannot be read any more: the
-// first two do not have it on theirs, so nobody answers it, and it refuses its
-// callers for as long as the list is away. Its own heartbeats, rightly signed,
-// are enough to answer it; they need no list.
+// A third instance joins right before the list becomes unreadable. It is not on
+// the lists of the first two, so they would not answer it, and it would refuse
+// its callers until the list is readable again. Its own heartbeats with a valid
+// signature are enough for the others to answer it.
 Test(membership, an_instance_that_is_not_listed_yet_is_answered) {
   fleet Fleet = makeFleet(3);
   for (const std::size_t Index : {0, 1}) {
@@ -132,9 +134,9 @@
   const member *Added = findMember(Known, "i2");
   cr_assert(Added != nullptr && Added->Address.Port == 7);
   cr_assert(admitDatagram(Known, Hello));
-  // A longer list only asks for more instances.
+  // A longer list only raises the number needed for a majority.
   cr_assert(instanceCount(Known) == 3);
-  // The next list decides.
+  // The next list replaces it.
   onList(Known, {listed(0), listed(1)}, Fleet.Now);
   cr_assert(findMember(Known, "i2") == nullptr);
 }
--- a/tests/control/operator_tool_test.cpp
+++ b/tests/control/operator_tool_test.cpp
@@ -21,7 +21,7 @@
 
 namespace {
 
-/// What a run of the tool ended in.
+/// The result of a run of the tool.
 struct tool_run {
   exit_code Code;
   std::string Out;
@@ -36,7 +36,7 @@
   return {Code, Out.str(), Err.str()};
 }
 
-/// A file of this content, removed at the end.
+/// A file with this content that the destructor removes.
 struct temporary_file {
   explicit temporary_file(const std::string &Content)
       : Path(std::filesystem::temp_directory_path() / base::randomId()) {
@@ -49,7 +49,7 @@
   std::filesystem::path Path;
 };
 
-/// An instance's operators' server that the tool reaches over loopback.
+/// The operator server of an instance, which the tool reaches over loopback.
 struct tool_fixture : config_fixture {
   tool_fixture()
       : Operators(Context.get_executor(), "secret"), Key("secret\n") {
@@ -104,11 +104,11 @@
 }
 
 struct failure_row {
-  /// What the exchange ends in, and what the tool makes of it.
+  /// The failure of the exchange, and the one that the tool reports.
   errc Kind;
   errc Reported;
   exit_code Code;
-  /// Instances that a change is sent to, of two.
+  /// Number of instances, out of two, that a change is sent to.
   unsigned Asked;
 };
 
@@ -147,8 +147,8 @@
   cr_assert(has(Faulty.Out, "\"column\":\"digest\""));
 }
 
-// A key is given at one instance and the answer is lost. A tool that asked the
-// next instance would give a second key that nobody knows of.
+// A key is given at one instance and the answer is lost. A tool that then asked
+// the next instance would create a second key that nobody knows of.
 Test(operator_tool, failures_have_their_exit_code_and_changes_go_out_once) {
   const std::vector<failure_row> Cases{
       {errc::EndpointUnreachable, errc::InstanceUnreachable,
--- a/tests/control/peer_service_test.cpp
+++ b/tests/control/peer_service_test.cpp
@@ -33,7 +33,7 @@
   http::address Address;
 };
 
-/// Instances with real sockets and the platform's stand-in in one process.
+/// Instances with real sockets and a stand-in for the platform, in one process.
 struct running_fleet {
   asio::io_context Context;
   standin::platform_standin Platform{Context.get_executor(), milliseconds(0)};
@@ -90,8 +90,9 @@
   return Fleet;
 }
 
-/// Runs until \p Done, or for 30 s; true when it was done. Each instance reads
-/// the store now and then, as the configuration service does.
+/// Runs until \p Done, or for 30 s; true when it was done. Each instance
+/// reports a read of the store every 10 ms, in place of the configuration
+/// service.
 bool runUntil(running_fleet &Fleet, const std::function<bool()> &Done) {
   const base::instant Cap = base::now() + milliseconds(30000);
   while (!Done() && base::now() < Cap) {
@@ -162,9 +163,9 @@
   const auto Fleet = startFleet(3);
   cr_assert(runUntil(*Fleet, [&] { return allHearAll(*Fleet); }));
   cr_assert(std::ranges::all_of(Fleet->Instances, isCurrent));
-  // The bucket of a new customer is empty; these wait for the giver.
+  // The bucket of a new customer is empty; these wait for the share allocator.
   cr_assert(requestAtAll(*Fleet, 2).Admitted == 6);
-  // Far more than there can be: all answered, most of them refused.
+  // Far more than the rate allows: all are answered, most are refused.
   const tally Tally = requestAtAll(*Fleet, 500);
   cr_assert(Tally.OverRate > 1200);
   double Given = 0;
--- a/tests/control/relays_test.cpp
+++ b/tests/control/relays_test.cpp
@@ -21,15 +21,15 @@
   return Relays;
 }
 
-/// Lets all relays die, and others take their place.
+/// Stops all relays and waits until others have replaced them.
 void replaceRelays(fleet &Fleet) {
   for (const std::size_t Relay : relaysOf(Fleet))
     Fleet.Instances[Relay].Up = false;
   run(Fleet, milliseconds(3000));
 }
 
-/// Heartbeats that an instance sends in a second, answers included; the most of
-/// those that are no relays, and of all.
+/// Heartbeats that an instance sends in a second, answers included: the maximum
+/// over the instances that are no relays, and over all.
 std::pair<std::uint64_t, std::uint64_t> sentInASecond(fleet &Fleet) {
   std::vector<std::uint64_t> Before;
   Before.reserve(Fleet.Instances.size());
@@ -112,7 +112,7 @@
               inContactWithMajority(Instance.Membership, Fleet.Now));
 }
 
-// Guards against asking dead relays again and again in place of live ones.
+// Guards against retrying dead relays instead of using live ones.
 Test(relays, stay_replaced_while_the_former_ones_are_dead) {
   fleet Fleet = makeFleet(60);
   run(Fleet, milliseconds(2000));
@@ -149,7 +149,8 @@
       cr_assert(Member->State == member_state::Leaving);
 }
 
-// Guards against a zone that hears nobody while it cannot reach its relays.
+// Guards against instances that lose contact with everybody because they cannot
+// reach the relays of their zone.
 Test(relays, are_chosen_anew_by_a_part_of_a_zone_that_is_cut_off) {
   fleet Fleet = makeFleet(60);
   run(Fleet, milliseconds(2000));
@@ -168,7 +169,7 @@
   cr_assert(!isInContact(Apart, *findMember(Apart, "i1"), Fleet.Now));
 }
 
-// Guards against telling that an instance is up, and not what it knows.
+// Guards against reporting that an instance is up without what it knows.
 Test(relays, leave_out_whoever_knows_more_than_they_pass_on) {
   fleet Fleet = makeFleet(60);
   for (fleet_instance &Instance : Fleet.Instances)
@@ -186,7 +187,7 @@
   cr_assert(findMember(Far, "i41")->KnownVersion == 5);
 }
 
-// Guards against acknowledgements that are counted before they were given.
+// Guards against counting acknowledgements that were not given yet.
 Test(relays, pass_on_which_version_an_instance_has_in_force) {
   fleet Fleet = makeFleet(60);
   run(Fleet, milliseconds(2000));
@@ -202,7 +203,8 @@
   cr_assert(findMember(Far, "i43")->KnownVersion == 0);
 }
 
-// Guards against counting as heard by way of a relay that takes in no claims.
+// Guards against counting an instance as in contact through a relay that does
+// not process claims.
 Test(relays, pass_on_nothing_when_told_so) {
   fleet Fleet = makeFleet(60);
   run(Fleet, milliseconds(2000));
@@ -213,7 +215,8 @@
   cr_assert(!isInContact(Far, *findMember(Far, "i41"), Fleet.Now));
 }
 
-// Guards against positions that look younger by the time an answer waited.
+// Guards against log positions whose age leaves out the time until the answer
+// was sent.
 Test(relays, do_not_make_positions_look_younger) {
   fleet Fleet = makeFleet(60);
   run(Fleet, milliseconds(2000));
@@ -238,7 +241,8 @@
   cr_assert(false, "nobody was asked");
 }
 
-// Guards against taking a former relay's last digest for news of the dead.
+// Guards against applying the last digest of a former relay to an instance that
+// has died since.
 Test(relays, are_not_quoted_after_they_have_stopped_to_relay) {
   fleet Fleet = makeFleet(60);
   run(Fleet, milliseconds(2000));
--- a/tests/control/sheet_test.cpp
+++ b/tests/control/sheet_test.cpp
@@ -28,7 +28,7 @@
                          "read,menu,orders,,,,,,,5000,\n"
                          "endpoint,db1,orders-db,a,127.0.0.1:7001,,,5,35,,\n";
 
-/// A fault that a sheet must be refused with.
+/// A sheet with the place of the fault that must be reported.
 struct expected_fault {
   std::string Sheet;
   std::size_t Row;
@@ -148,8 +148,8 @@
   cr_assert(Rows == Expected);
 }
 
-// A planner pastes the key itself into the digest column. The refusal goes to
-// screens and logs, so it must not repeat the cell.
+// An operator pastes the key itself into the digest column. The error message
+// is displayed and logged, so it must not contain the cell.
 Test(sheet, a_key_pasted_as_digest_is_not_repeated) {
   const auto Reading = parseSheet(replaced(Good, Digest, "my-secret-key"));
   for (const control::sheet_fault &Fault : Reading.Faults)
--- a/tests/wire/message_test.cpp
+++ b/tests/wire/message_test.cpp
@@ -72,9 +72,9 @@
   cr_assert(Back.Entries[0].Tokens == 2.5F && Back.Entries[0].TtlUs == 20);
 }
 
-// A datagram is cut short, changed on the way, or made by somebody without the
-// fleet's key. An instance that took it in would believe a false heartbeat or
-// a false grant.
+// A datagram is truncated, modified in transit, or sent by somebody without the
+// fleet's key. An instance that accepted it would act on a false heartbeat or a
+// false grant.
 Test(message, truncated_changed_and_foreign_datagrams_are_dropped) {
   const std::string Bytes = encode(Key, heartbeat());
   for (std::size_t Size = 0; Size < Bytes.size(); ++Size)
@@ -87,8 +87,8 @@
   cr_assert(!decode("another key", Bytes));
 }
 
-// An instance of a broken release signs half a message with the right key:
-// the reader must refuse it rather than fail.
+// An instance of a faulty release signs a truncated message with the right key:
+// decoding must refuse it rather than fail.
 Test(message, a_signed_payload_that_ends_early_is_dropped) {
   const std::string Bytes = encode(Key, heartbeat());
   const std::string Payload(verify(Key, Bytes).value_or(""));
@@ -96,8 +96,8 @@
     cr_assert(!decode(Key, sign(Key, Payload.substr(0, Size))));
 }
 
-// The network delays, crosses and doubles datagrams, and an instance starts
-// again under its name.
+// The network delays, reorders and duplicates datagrams, and an instance
+// restarts under the same name.
 Test(replay_window, each_datagram_has_its_effect_once) {
   struct step {
     std::uint64_t Incarnation;
