--- a/packages/control/src/config_rows.cpp
+++ b/packages/control/src/config_rows.cpp
@@ -78,12 +78,12 @@
 }
 
 result<configuration> configurationOf(const accepted_sheet &Sheet) {
-  sheet_parse_result Reading = parseSheet(Sheet.Text);
-  if (!Reading.Configuration)
+  sheet_parse_result Parsed = parseSheet(Sheet.Text);
+  if (!Parsed.Configuration)
     return failure(errc::BadSheet, "version " + std::to_string(Sheet.Version) +
-                                       ": " + describe(Reading.Faults.front()));
-  Reading.Configuration->Version = Sheet.Version;
-  return std::move(*Reading.Configuration);
+                                       ": " + describe(Parsed.Faults.front()));
+  Parsed.Configuration->Version = Sheet.Version;
+  return std::move(*Parsed.Configuration);
 }
 
 } // namespace redwinggw::control
--- a/packages/control/src/configuration_service.cpp
+++ b/packages/control/src/configuration_service.cpp
@@ -81,10 +81,10 @@
 
 task<result<submitted>> configuration_service::submit(std::string Sheet) {
   const auto Self = State;
-  sheet_parse_result Reading = parseSheet(Sheet);
-  if (!Reading.Configuration)
-    co_return failure(errc::BadSheet, linesOf(Reading.Faults));
-  config_request Request = std::move(*Reading.Configuration);
+  sheet_parse_result Parsed = parseSheet(Sheet);
+  if (!Parsed.Configuration)
+    co_return failure(errc::BadSheet, linesOf(Parsed.Faults));
+  config_request Request = std::move(*Parsed.Configuration);
   co_return co_await Self->change(std::move(Request));
 }
 
--- a/packages/control/src/membership.cpp
+++ b/packages/control/src/membership.cpp
@@ -44,9 +44,9 @@
   Report.EchoSequence = Member.Heartbeat;
   Report.Reports = Kind == heartbeat_kind::Report;
   // Two instances that both act as relays learn of each other by an answer.
-  const bool Silent = !isInDirectContact(Membership, Member, Now);
+  const bool NoContact = !isInDirectContact(Membership, Member, Now);
   Report.WantsReply =
-      Report.Reports || (Kind == heartbeat_kind::Relay && Silent);
+      Report.Reports || (Kind == heartbeat_kind::Relay && NoContact);
   if (Kind == heartbeat_kind::Answer)
     Report.Digest =
         digestFor(Membership, Member, wire::digest_scope::Fleet, Now);
@@ -287,9 +287,9 @@
   std::vector<peer_send> Sends;
   for (std::size_t Index = 0; Index < Membership.Members.size(); ++Index) {
     const member &Member = Membership.Members[Index];
-    const bool Told =
+    const bool InPlan =
         std::ranges::find(Plan.Targets, Index) != Plan.Targets.end();
-    if (Told || reportsHere(Member) ||
+    if (InPlan || reportsHere(Member) ||
         isInDirectContact(Membership, Member, Now))
       Sends.push_back(
           heartbeatTo(Membership, Member, heartbeat_kind::Relay, Now));
--- a/packages/control/src/membership_reports.cpp
+++ b/packages/control/src/membership_reports.cpp
@@ -250,14 +250,14 @@
 
 bool inContactWithMajority(const membership &Membership, instant Now) {
   const bool AnyCounts = !Membership.Limits.RequireStoreReadSinceStart;
-  const auto Heard =
+  const auto InContact =
       std::ranges::count_if(Membership.Members, [&](const member &Member) {
         return (AnyCounts || Member.ReadStoreSinceStart) &&
                isInContact(Membership, Member, Now);
       });
   const std::size_t Self = AnyCounts || Membership.Store.ReadAt ? 1 : 0;
   return Membership.ListKnown &&
-         isMajority(Membership, static_cast<std::size_t>(Heard) + Self);
+         isMajority(Membership, static_cast<std::size_t>(InContact) + Self);
 }
 
 bool majorityKnows(const membership &Membership, base::config_version Version) {
@@ -277,12 +277,12 @@
 }
 
 bool majorityReceivedSince(const membership &Membership, instant ListedSince) {
-  const auto Got =
+  const auto Receivers =
       std::ranges::count_if(Membership.Members, [&](const member &Member) {
         return Member.ReportAt && *Member.ReportAt >= ListedSince;
       });
   return Membership.ListKnown &&
-         isMajority(Membership, static_cast<std::size_t>(Got) + 1);
+         isMajority(Membership, static_cast<std::size_t>(Receivers) + 1);
 }
 
 } // namespace redwinggw::control
--- a/packages/control/src/operator_routes.cpp
+++ b/packages/control/src/operator_routes.cpp
@@ -81,24 +81,24 @@
   const auto Text = textIn(Body, "sheet");
   if (!Text)
     co_return Text.error();
-  const sheet_parse_result Reading = parseSheet(*Text);
-  co_return json::object{{"ok", Reading.Configuration.has_value()},
-                         {"faults", faultsOf(Reading.Faults)}};
+  const sheet_parse_result Parsed = parseSheet(*Text);
+  co_return json::object{{"ok", Parsed.Configuration.has_value()},
+                         {"faults", faultsOf(Parsed.Faults)}};
 }
 
 answer diffSheet(configuration_service &Service, json::object Body) {
   const auto Text = textIn(Body, "sheet");
   if (!Text)
     co_return Text.error();
-  const sheet_parse_result Reading = parseSheet(*Text);
-  json::object Answer{{"ok", Reading.Configuration.has_value()},
-                      {"faults", faultsOf(Reading.Faults)},
+  const sheet_parse_result Parsed = parseSheet(*Text);
+  json::object Answer{{"ok", Parsed.Configuration.has_value()},
+                      {"faults", faultsOf(Parsed.Faults)},
                       {"in_force", Service.inForce().Version}};
-  if (!Reading.Configuration)
+  if (!Parsed.Configuration)
     co_return Answer;
-  Answer["made_from"] = Reading.Configuration->Version;
+  Answer["made_from"] = Parsed.Configuration->Version;
   Answer["changes"] =
-      changesOf(changesBetween(Service.inForce(), *Reading.Configuration));
+      changesOf(changesBetween(Service.inForce(), *Parsed.Configuration));
   co_return Answer;
 }
 
--- a/packages/control/src/peer_service.cpp
+++ b/packages/control/src/peer_service.cpp
@@ -72,11 +72,11 @@
   membership Membership;
   config_freshness_state Freshness;
   peer_traffic Traffic;
-  report_handler Report;
+  report_handler ReportHandler;
   std::function<void(wire::peer_report &)> Fill;
-  shared_read_handler SharedRead;
+  shared_read_handler SharedReadHandler;
   std::function<void()> UnlistedHandler;
-  share_handler Share;
+  share_handler ShareHandler;
   clock_port Clock;
   bool Stopped = false;
 };
@@ -151,22 +151,22 @@
   if (Clock.Observe)
     Clock.Observe(Datagram->Clock);
   if (const auto *Message = std::get_if<wire::share_message>(&Datagram->Body)) {
-    if (Share)
-      Share(*Datagram, *Message);
+    if (ShareHandler)
+      ShareHandler(*Datagram, *Message);
     return;
   }
   const member *Member = findMember(Membership, Datagram->Sender);
   if (const auto *Read =
           std::get_if<wire::shared_store_read>(&Datagram->Body)) {
     relaySharedRead(*Member, *Read);
-    if (SharedRead)
-      SharedRead(*Member, *Read);
+    if (SharedReadHandler)
+      SharedReadHandler(*Member, *Read);
     return;
   }
   for (peer_send &Send : onHeartbeat(Membership, *Datagram, base::now()))
     transmit(std::move(Send));
-  if (Report)
-    Report(*Member);
+  if (ReportHandler)
+    ReportHandler(*Member);
 }
 
 void peer_service::state::sendSharedRead(
@@ -309,7 +309,7 @@
 }
 
 void peer_service::onReport(report_handler Handler) {
-  State->Report = std::move(Handler);
+  State->ReportHandler = std::move(Handler);
 }
 
 bool peer_service::send(std::string_view Instance,
@@ -362,7 +362,7 @@
 }
 
 void peer_service::onSharedRead(shared_read_handler Handler) {
-  State->SharedRead = std::move(Handler);
+  State->SharedReadHandler = std::move(Handler);
 }
 
 void peer_service::onUnlistedInstance(std::function<void()> Handler) {
@@ -370,7 +370,7 @@
 }
 
 void peer_service::onShareMessage(share_handler Handler) {
-  State->Share = std::move(Handler);
+  State->ShareHandler = std::move(Handler);
 }
 
 bool peer_service::inContactWithMajority(instant Now) const {
--- a/tests/control/config_fixture.hpp
+++ b/tests/control/config_fixture.hpp
@@ -108,8 +108,8 @@
   return control::renderSheet(Configuration);
 }
 
-inline bool works(const control::configuration_service &Service,
-                  std::string_view Key) {
+inline bool isKeyInForce(const control::configuration_service &Service,
+                         std::string_view Key) {
   return control::findKey(Service.inForce(), FleetKey, Key) != nullptr;
 }
 
--- a/tests/control/config_in_force_test.cpp
+++ b/tests/control/config_in_force_test.cpp
@@ -24,7 +24,7 @@
   return Configuration;
 }
 
-bool works(const config_in_force &InForce, std::string_view Key) {
+bool isKeyInForce(const config_in_force &InForce, std::string_view Key) {
   return InForce.Configuration &&
          findKey(*InForce.Configuration, FleetKey, Key) != nullptr;
 }
@@ -57,12 +57,12 @@
 Test(config_in_force, a_key_being_withdrawn_stays_out_of_force) {
   config_in_force InForce;
   applyVersion(InForce, withKeys(1, {"k1", "k2"}));
-  cr_assert(works(InForce, "k1"));
+  cr_assert(isKeyInForce(InForce, "k1"));
   cr_assert(withdrawHere(InForce, "k1"));
-  cr_assert(!works(InForce, "k1"));
-  cr_assert(works(InForce, "k2"));
+  cr_assert(!isKeyInForce(InForce, "k1"));
+  cr_assert(isKeyInForce(InForce, "k2"));
   applyVersion(InForce, withKeys(2, {"k1", "k2"}));
-  cr_assert(!works(InForce, "k1"));
+  cr_assert(!isKeyInForce(InForce, "k1"));
   applyVersion(InForce, withKeys(3, {"k2"}));
   cr_assert(InForce.Withdrawing.empty());
 }
@@ -72,7 +72,7 @@
   applyVersion(InForce, withKeys(1, {"k1", "k2"}));
   withdrawHere(InForce, "k1");
   undoWithdrawHere(InForce, "k1");
-  cr_assert(works(InForce, "k1"));
+  cr_assert(isKeyInForce(InForce, "k1"));
   cr_assert(InForce.Configuration == withKeys(1, {"k1", "k2"}));
 }
 
--- a/tests/control/config_service_test.cpp
+++ b/tests/control/config_service_test.cpp
@@ -22,12 +22,12 @@
   cr_assert(Accepted->Version == 1);
   cr_assert(Fleet.Left->inForce().Version == 1);
   const auto Given = co_await Fleet.Right->giveKey("a");
-  cr_assert(works(*Fleet.Right, Given->Key));
-  co_await Fleet.until([&] { return works(*Fleet.Left, Given->Key); });
+  cr_assert(isKeyInForce(*Fleet.Right, Given->Key));
+  co_await Fleet.until([&] { return isKeyInForce(*Fleet.Left, Given->Key); });
   const auto Withdrawn = co_await Fleet.Left->withdrawKey(Given->Id);
   cr_assert(Withdrawn->Version == 3);
-  cr_assert(!works(*Fleet.Left, Given->Key));
-  co_await Fleet.until([&] { return !works(*Fleet.Right, Given->Key); });
+  cr_assert(!isKeyInForce(*Fleet.Left, Given->Key));
+  co_await Fleet.until([&] { return !isKeyInForce(*Fleet.Right, Given->Key); });
   const auto History = co_await Fleet.Left->history(2);
   cr_assert(History->size() == 2);
   cr_assert(History->front().Version == 3);
@@ -90,13 +90,13 @@
 task<void> withdrawThrough(config_fixture &Fleet, store_cut Cut) {
   co_await Fleet.Left->submit(First);
   const auto Given = co_await Fleet.Left->giveKey("a");
-  co_await Fleet.until([&] { return works(*Fleet.Right, Given->Key); });
+  co_await Fleet.until([&] { return isKeyInForce(*Fleet.Right, Given->Key); });
   Fleet.Cut = Cut;
   const auto Unknown = co_await Fleet.Left->withdrawKey(Given->Id);
   cr_assert(kindOf(Unknown.error()) == errc::OutcomeUnknown);
-  cr_assert(!works(*Fleet.Left, Given->Key));
+  cr_assert(!isKeyInForce(*Fleet.Left, Given->Key));
   Fleet.Cut = store_cut::None;
-  co_await Fleet.until([&] { return !works(*Fleet.Right, Given->Key); });
+  co_await Fleet.until([&] { return !isKeyInForce(*Fleet.Right, Given->Key); });
 }
 
 } // namespace
@@ -121,7 +121,7 @@
   Fleet.Cut = store_cut::All;
   const auto Refused = co_await Fleet.Left->withdrawKey(Given->Id);
   cr_assert(kindOf(Refused.error()) == errc::StoreUnreachable);
-  cr_assert(works(*Fleet.Left, Given->Key));
+  cr_assert(isKeyInForce(*Fleet.Left, Given->Key));
 }
 
 } // namespace
--- a/tests/control/config_submission_test.cpp
+++ b/tests/control/config_submission_test.cpp
@@ -78,7 +78,7 @@
 }
 
 /// What may happen to one commit in transit.
-enum class fate { Answered, AnswerLost, RequestLost, Late };
+enum class delivery { Answered, AnswerLost, RequestLost, Late };
 
 /// One operator in the race.
 struct racer {
@@ -110,7 +110,7 @@
 }
 
 /// One step of \p Racer; a commit meets \p Fate.
-void step(race &Race, racer &Racer, fate Fate) {
+void step(race &Race, racer &Racer, delivery Delivery) {
   const auto *Commit = std::get_if<config_commit>(&Racer.Next);
   if (Commit == nullptr) {
     Racer.Next =
@@ -119,12 +119,12 @@
   }
   const storage::commit_request Request = Commit->Request;
   auto Answer = commit_answer::Unknown;
-  if (Fate == fate::Late)
+  if (Delivery == delivery::Late)
     Racer.InFlight = Request;
-  if (Fate == fate::Answered || Fate == fate::AnswerLost) {
+  if (Delivery == delivery::Answered || Delivery == delivery::AnswerLost) {
     const bool Took = commitTo(Race.Table, Request);
     Race.Accepts += Took ? 1 : 0;
-    if (Fate == fate::Answered)
+    if (Delivery == delivery::Answered)
       Answer = Took ? commit_answer::Accepted : commit_answer::Conflict;
   }
   Racer.Next = onCommitAnswer(Racer.Submission, Answer);
@@ -147,14 +147,14 @@
       continue;
     Ended = false;
     const bool Commits = std::holds_alternative<config_commit>(Racer.Next);
-    for (const fate Fate :
-         {fate::Answered, fate::AnswerLost, fate::RequestLost, fate::Late}) {
-      const bool Faulty = Fate != fate::Answered;
+    for (const delivery Delivery : {delivery::Answered, delivery::AnswerLost,
+                                    delivery::RequestLost, delivery::Late}) {
+      const bool Faulty = Delivery != delivery::Answered;
       if (Faulty && (!Commits || Racer.Faults == 0))
         continue;
       race Next = Race;
       Next.Racers[Index].Faults -= Faulty ? 1 : 0;
-      step(Next, Next.Racers[Index], Fate);
+      step(Next, Next.Racers[Index], Delivery);
       if (!explore(Next, Check))
         return false;
     }
--- a/tests/control/membership_test.cpp
+++ b/tests/control/membership_test.cpp
@@ -10,11 +10,11 @@
 
 namespace {
 
-member_state stateSeen(const fleet &Fleet, std::size_t By, std::size_t Of) {
+member_state stateAt(const fleet &Fleet, std::size_t By, std::size_t Of) {
   return findMember(Fleet.Instances[By].Membership, nameOf(Of))->State;
 }
 
-std::size_t heardBy(const fleet &Fleet, std::size_t By) {
+std::size_t contactCount(const fleet &Fleet, std::size_t By) {
   const membership &Membership = Fleet.Instances[By].Membership;
   return static_cast<std::size_t>(
       std::ranges::count_if(Membership.Members, [&](const member &Member) {
@@ -28,12 +28,12 @@
      a_silent_instance_becomes_suspect_then_dead_then_is_forgotten) {
   fleet Fleet = makeFleet(3);
   run(Fleet, milliseconds(1000));
-  cr_assert(stateSeen(Fleet, 0, 2) == member_state::Alive);
+  cr_assert(stateAt(Fleet, 0, 2) == member_state::Alive);
   Fleet.Instances[2].Up = false;
   run(Fleet, milliseconds(1200));
-  cr_assert(stateSeen(Fleet, 0, 2) == member_state::Suspect);
+  cr_assert(stateAt(Fleet, 0, 2) == member_state::Suspect);
   run(Fleet, milliseconds(2000));
-  cr_assert(stateSeen(Fleet, 0, 2) == member_state::Dead);
+  cr_assert(stateAt(Fleet, 0, 2) == member_state::Dead);
   cr_assert(inContactWithMajority(Fleet.Instances[0].Membership, Fleet.Now));
   onList(Fleet.Instances[0].Membership, {listed(0), listed(1)}, Fleet.Now);
   cr_assert(findMember(Fleet.Instances[0].Membership, "i2") == nullptr);
@@ -44,26 +44,26 @@
   run(Fleet, milliseconds(1000));
   deliver(Fleet, onLeave(Fleet.Instances[2].Membership, Fleet.Now));
   run(Fleet, milliseconds(50));
-  cr_assert(stateSeen(Fleet, 0, 2) == member_state::Leaving);
-  cr_assert(stateSeen(Fleet, 1, 2) == member_state::Leaving);
+  cr_assert(stateAt(Fleet, 0, 2) == member_state::Leaving);
+  cr_assert(stateAt(Fleet, 1, 2) == member_state::Leaving);
 }
 
 // One direction of a link is cut: 0 still receives the heartbeats of 1, but 1
 // receives none from 0. A majority counted over such a link would not know what
 // 0 does.
-Test(membership, a_link_that_works_one_way_does_not_count_as_heard) {
+Test(membership, a_one_way_link_does_not_count_as_contact) {
   fleet Fleet = makeFleet(2);
   run(Fleet, milliseconds(1000));
   Fleet.Connected = [](std::size_t From, std::size_t) { return From == 1; };
   run(Fleet, milliseconds(2000));
-  cr_assert(heardBy(Fleet, 0) == 0);
+  cr_assert(contactCount(Fleet, 0) == 0);
   cr_assert(!inContactWithMajority(Fleet.Instances[0].Membership, Fleet.Now));
 }
 
 // An instance restarts after its wall clock stepped back, so its incarnation is
 // lower than the last one and the others drop its datagrams. It would never be
 // in contact again.
-Test(membership, an_instance_whose_clock_stepped_back_is_heard_again) {
+Test(membership, an_instance_whose_clock_stepped_back_is_in_contact_again) {
   fleet Fleet = makeFleet(3);
   run(Fleet, milliseconds(1000));
   fleet Fresh = makeFleet(3);
@@ -71,7 +71,7 @@
   Fleet.Instances[2].Membership.Self.Incarnation = 50;
   run(Fleet, milliseconds(1500));
   cr_assert(Fleet.Instances[2].Membership.Self.Incarnation > 100);
-  cr_assert(stateSeen(Fleet, 0, 2) == member_state::Alive);
+  cr_assert(stateAt(Fleet, 0, 2) == member_state::Alive);
 }
 
 Test(membership, late_doubled_and_misaddressed_datagrams_change_nothing) {
@@ -99,11 +99,11 @@
 
 // Guards against a large fleet in which reports of some instances do not
 // arrive.
-Test(membership, a_large_fleet_hears_a_majority_by_relay) {
+Test(membership, a_large_fleet_is_in_contact_with_a_majority_through_relays) {
   fleet Fleet = makeFleet(64);
   run(Fleet, milliseconds(3000));
   for (std::size_t Index = 0; Index < 64; ++Index) {
-    cr_assert(heardBy(Fleet, Index) == 63);
+    cr_assert(contactCount(Fleet, Index) == 63);
     cr_assert(
         inContactWithMajority(Fleet.Instances[Index].Membership, Fleet.Now));
   }
@@ -111,7 +111,7 @@
   run(Fleet, milliseconds(4000));
   for (std::size_t Index = 0; Index < 64; ++Index)
     if (Index != 9)
-      cr_assert(stateSeen(Fleet, Index, 9) == member_state::Dead);
+      cr_assert(stateAt(Fleet, Index, 9) == member_state::Dead);
 }
 
 // A third instance joins right before the list becomes unreadable. It is not on
--- a/tests/control/operator_server_test.cpp
+++ b/tests/control/operator_server_test.cpp
@@ -112,8 +112,9 @@
 
 namespace {
 
-task<void> workADay(server_fixture &Fleet, const json::object &WithSheet,
-                    const json::object &Customer) {
+task<void> performUsualRequests(server_fixture &Fleet,
+                                const json::object &WithSheet,
+                                const json::object &Customer) {
   const auto Diff = co_await Fleet.ask("/operators/sheet/diff", WithSheet);
   cr_assert(json::parse(Diff.Body).at("changes").as_array().size() == 1);
   const auto First = co_await Fleet.ask("/operators/sheet/submit", WithSheet);
@@ -123,7 +124,7 @@
 
   const auto Given = co_await Fleet.ask("/operators/key/give", Customer);
   const auto Key = json::parse(Given.Body);
-  cr_assert(works(*Fleet.Left, std::string(Key.at("key").as_string())));
+  cr_assert(isKeyInForce(*Fleet.Left, std::string(Key.at("key").as_string())));
   const auto Listed = co_await Fleet.ask("/operators/customers", Nothing);
   cr_assert(Listed.Body.find(Key.at("id").as_string()) != std::string::npos);
   cr_assert(Listed.Body.find(Key.at("key").as_string()) == std::string::npos);
@@ -141,9 +142,9 @@
 
 } // namespace
 
-Test(operator_server, a_day_of_an_operator) {
+Test(operator_server, the_usual_operator_requests_work) {
   server_fixture Fleet;
   const json::object WithSheet{{"sheet", sheetOf(0, {"a"})}};
   const json::object Customer{{"customer", "a"}};
-  Fleet.run([&] { return workADay(Fleet, WithSheet, Customer); });
+  Fleet.run([&] { return performUsualRequests(Fleet, WithSheet, Customer); });
 }
--- a/tests/control/operator_tool_test.cpp
+++ b/tests/control/operator_tool_test.cpp
@@ -220,7 +220,7 @@
   cr_assert(base::eventsFromJson(One.Out)->size() == 2);
 }
 
-Test(operator_tool, a_day_of_an_operator) {
+Test(operator_tool, the_usual_operator_requests_work) {
   tool_fixture Fleet;
   const temporary_file First(testing::sheetOf(0, {"a"}));
   const temporary_file Late(testing::sheetOf(0, {"b"}));
@@ -234,13 +234,13 @@
   const tool_run Given = Fleet.run({"key", "give", "a"});
   const std::string Key = wordAfter(Given.Out, "Key: ");
   const std::string Id = wordAfter(Given.Out, "Key id: ");
-  cr_assert(works(*Fleet.Left, Key));
+  cr_assert(isKeyInForce(*Fleet.Left, Key));
   cr_assert(has(Fleet.run({"customer", "show", "a"}).Out, Id));
   cr_assert(
       has(Fleet.run({"customer", "list"}).Out, "a     10    5      " + Id));
   cr_assert(has(Fleet.run({"sheet", "show"}).Out, Id));
   cr_assert(Fleet.run({"key", "withdraw", Id}).Code == exit_code::Ok);
-  cr_assert(!works(*Fleet.Left, Key));
+  cr_assert(!isKeyInForce(*Fleet.Left, Key));
   cr_assert(!has(Fleet.run({"customer", "list"}).Out, Id));
   cr_assert(has(Fleet.run({"sheet", "history"}).Out, " UTC"));
   cr_assert(has(Fleet.run({"sheet", "show", "2"}).Out, Id));
--- a/tests/control/peer_service_test.cpp
+++ b/tests/control/peer_service_test.cpp
@@ -45,13 +45,13 @@
   std::vector<instance> Instances;
 };
 
-base::task<void> tell(standin::platform_standin &Platform,
-                      http::request Request) {
+base::task<void> sendToPlatform(standin::platform_standin &Platform,
+                                http::request Request) {
   co_await Platform.handle(std::move(Request));
 }
 
-void enlist(running_fleet &Fleet, const std::string &Name,
-            const http::address &Peers) {
+void registerInstance(running_fleet &Fleet, const std::string &Name,
+                      const http::address &Peers) {
   http::request Request;
   Request.Target = "/admin/instance";
   Request.Body =
@@ -61,7 +61,8 @@
                                                  {"callers", "127.0.0.1:1"},
                                                  {"operators", "127.0.0.1:1"},
                                                  {"state", "live"}});
-  asio::co_spawn(Fleet.Context, tell(Fleet.Platform, std::move(Request)),
+  asio::co_spawn(Fleet.Context,
+                 sendToPlatform(Fleet.Platform, std::move(Request)),
                  asio::detached);
 }
 
@@ -85,7 +86,7 @@
                                                       Instance.Store, Options);
     Instance.Shares->start();
     Instance.Shares->apply(Configuration);
-    enlist(*Fleet, Name, Instance.Address);
+    registerInstance(*Fleet, Name, Instance.Address);
   }
   return Fleet;
 }
@@ -112,7 +113,7 @@
   Fleet.Context.run_for(milliseconds(100));
 }
 
-bool hearsAll(const instance &Instance, std::size_t Others) {
+bool seesAllAlive(const instance &Instance, std::size_t Others) {
   const auto &Members = Instance.Peers->view().Members;
   return Members.size() == Others &&
          std::ranges::all_of(Members, [](const member &Member) {
@@ -120,9 +121,9 @@
          });
 }
 
-bool allHearAll(const running_fleet &Fleet) {
+bool allSeeAllAlive(const running_fleet &Fleet) {
   return std::ranges::all_of(Fleet.Instances, [&](const instance &Instance) {
-    return hearsAll(Instance, Fleet.Instances.size() - 1);
+    return seesAllAlive(Instance, Fleet.Instances.size() - 1);
   });
 }
 
@@ -131,47 +132,47 @@
          config_freshness::Current;
 }
 
-struct tally {
+struct admission_counts {
   std::size_t Admitted = 0;
   std::size_t OverRate = 0;
   std::size_t total() const { return Admitted + OverRate; }
 };
 
-base::task<void> request(share_service &Shares, tally &Tally) {
+base::task<void> request(share_service &Shares, admission_counts &Counts) {
   const base::instant Deadline = base::now() + milliseconds(20000);
   const auto Answer = co_await Shares.admit("sweets", Deadline);
   if (Answer)
-    ++Tally.Admitted;
+    ++Counts.Admitted;
   else if (kindOf(Answer.error()) == base::errc::OverRate)
-    ++Tally.OverRate;
+    ++Counts.OverRate;
 }
 
-tally requestAtAll(running_fleet &Fleet, std::size_t Each) {
-  tally Tally;
+admission_counts requestAtAll(running_fleet &Fleet, std::size_t Each) {
+  admission_counts Counts;
   for (const instance &Instance : Fleet.Instances)
     for (std::size_t Count = 0; Count < Each; ++Count)
-      asio::co_spawn(Fleet.Context, request(*Instance.Shares, Tally),
+      asio::co_spawn(Fleet.Context, request(*Instance.Shares, Counts),
                      asio::detached);
   const std::size_t Sent = Each * Fleet.Instances.size();
-  cr_assert(runUntil(Fleet, [&] { return Tally.total() == Sent; }));
-  return Tally;
+  cr_assert(runUntil(Fleet, [&] { return Counts.total() == Sent; }));
+  return Counts;
 }
 
 } // namespace
 
 Test(peer_service, instances_find_each_other_and_share_one_budget) {
   const auto Fleet = startFleet(3);
-  cr_assert(runUntil(*Fleet, [&] { return allHearAll(*Fleet); }));
+  cr_assert(runUntil(*Fleet, [&] { return allSeeAllAlive(*Fleet); }));
   cr_assert(std::ranges::all_of(Fleet->Instances, isCurrent));
   // The bucket of a new customer is empty; these wait for the share allocator.
   cr_assert(requestAtAll(*Fleet, 2).Admitted == 6);
   // Far more than the rate allows: all are answered, most are refused.
-  const tally Tally = requestAtAll(*Fleet, 500);
-  cr_assert(Tally.OverRate > 1200);
+  const admission_counts Counts = requestAtAll(*Fleet, 500);
+  cr_assert(Counts.OverRate > 1200);
   double Given = 0;
   for (const instance &Instance : Fleet->Instances)
     Given += Instance.Shares->status().Given;
-  cr_assert(Given >= static_cast<double>(Tally.Admitted + 6));
+  cr_assert(Given >= static_cast<double>(Counts.Admitted + 6));
   stopFleet(*Fleet);
 }
 
@@ -207,9 +208,9 @@
   share_options Options;
   Options.Policy = share_policy::Static;
   const auto Fleet = startFleet(3, Options);
-  cr_assert(runUntil(*Fleet, [&] { return allHearAll(*Fleet); }));
-  const tally Tally = requestAtAll(*Fleet, 100);
-  cr_assert(Tally.Admitted < static_cast<std::size_t>(Burst));
-  cr_assert(Tally.OverRate == 300 - Tally.Admitted);
+  cr_assert(runUntil(*Fleet, [&] { return allSeeAllAlive(*Fleet); }));
+  const admission_counts Counts = requestAtAll(*Fleet, 100);
+  cr_assert(Counts.Admitted < static_cast<std::size_t>(Burst));
+  cr_assert(Counts.OverRate == 300 - Counts.Admitted);
   stopFleet(*Fleet);
 }
--- a/tests/control/relays_test.cpp
+++ b/tests/control/relays_test.cpp
@@ -47,7 +47,7 @@
   return Most;
 }
 
-bool allHearAll(const fleet &Fleet) {
+bool allInContact(const fleet &Fleet) {
   return std::ranges::all_of(
       Fleet.Instances, [&](const fleet_instance &Instance) {
         const membership &Membership = Instance.Membership;
@@ -66,7 +66,7 @@
   fleet Fleet = makeFleet(60);
   run(Fleet, milliseconds(2000));
   cr_assert(relaysOf(Fleet).size() == 4);
-  cr_assert(allHearAll(Fleet));
+  cr_assert(allInContact(Fleet));
 }
 
 Test(relays, are_all_instances_of_a_small_fleet) {
@@ -98,7 +98,7 @@
   run(Small, milliseconds(2000));
   run(Large, milliseconds(2000));
   cr_assert(sentInASecond(Large).first <= sentInASecond(Small).first);
-  cr_assert(allHearAll(Large));
+  cr_assert(allInContact(Large));
 }
 
 Test(relays, are_replaced_when_they_die) {
@@ -106,7 +106,7 @@
   run(Fleet, milliseconds(2000));
   replaceRelays(Fleet);
   cr_assert(relaysOf(Fleet).size() == 4);
-  cr_assert(allHearAll(Fleet));
+  cr_assert(allInContact(Fleet));
   for (const fleet_instance &Instance : Fleet.Instances)
     cr_assert(!Instance.Up ||
               inContactWithMajority(Instance.Membership, Fleet.Now));
@@ -119,7 +119,7 @@
   replaceRelays(Fleet);
   for (int Step = 0; Step < 200; ++Step) {
     run(Fleet, milliseconds(50));
-    cr_assert(allHearAll(Fleet), "after %d ms", 50 * Step);
+    cr_assert(allInContact(Fleet), "after %d ms", 50 * Step);
   }
 }
 
@@ -143,7 +143,7 @@
   const auto Relays = relaysOf(Fleet);
   cr_assert(Relays.size() == 4 &&
             std::ranges::find(Relays, Leaving) == Relays.end());
-  cr_assert(allHearAll(Fleet));
+  cr_assert(allInContact(Fleet));
   for (const fleet_instance &Instance : Fleet.Instances)
     if (const member *Member = findMember(Instance.Membership, nameOf(Leaving)))
       cr_assert(Member->State == member_state::Leaving);
--- a/tests/control/sheet_test.cpp
+++ b/tests/control/sheet_test.cpp
@@ -55,9 +55,9 @@
 } // namespace
 
 Test(sheet, a_quoted_sheet_reads_back_as_it_was_rendered) {
-  const auto Reading = parseSheet(Good);
-  cr_assert(Reading.Configuration.has_value());
-  const control::configuration &Read = *Reading.Configuration;
+  const auto Parsed = parseSheet(Good);
+  cr_assert(Parsed.Configuration.has_value());
+  const control::configuration &Read = *Parsed.Configuration;
   cr_assert(Read.Version == 7);
   cr_assert(Read.Customers.front().Name == "Bomboane, \"dulci\"");
   cr_assert(Read.Customers.front().Rate == 99.5);
@@ -79,9 +79,9 @@
 }
 
 Test(sheet, the_documented_example_is_a_good_sheet) {
-  const auto Reading = parseSheet(documentedExample());
-  cr_assert(Reading.Configuration.has_value());
-  cr_assert(!Reading.Configuration->Reads.empty());
+  const auto Parsed = parseSheet(documentedExample());
+  cr_assert(Parsed.Configuration.has_value());
+  cr_assert(!Parsed.Configuration->Reads.empty());
 }
 
 Test(sheet, each_fault_is_named_by_row_and_column) {
@@ -126,10 +126,10 @@
        "connections"},
   };
   for (const expected_fault &Case : Cases) {
-    const auto Reading = parseSheet(Case.Sheet);
-    cr_assert(!Reading.Configuration);
+    const auto Parsed = parseSheet(Case.Sheet);
+    cr_assert(!Parsed.Configuration);
     const bool Named = std::ranges::any_of(
-        Reading.Faults, [&](const control::sheet_fault &Fault) {
+        Parsed.Faults, [&](const control::sheet_fault &Fault) {
           return Fault.Row == Case.Row && Fault.Column == Case.Column &&
                  !Fault.Problem.empty() && !Fault.Allowed.empty() &&
                  !Fault.Remedy.empty();
@@ -140,9 +140,9 @@
 }
 
 Test(sheet, all_faults_are_reported_at_once_in_the_order_of_rows) {
-  const auto Reading = parseSheet(Good + "customer,,,,,0,0\nfoo\nread,a,b\n");
+  const auto Parsed = parseSheet(Good + "customer,,,,,0,0\nfoo\nread,a,b\n");
   std::vector<std::size_t> Rows;
-  std::ranges::transform(Reading.Faults, std::back_inserter(Rows),
+  std::ranges::transform(Parsed.Faults, std::back_inserter(Rows),
                          &control::sheet_fault::Row);
   const std::vector<std::size_t> Expected{8, 8, 8, 9, 10, 10};
   cr_assert(Rows == Expected);
@@ -151,7 +151,7 @@
 // An operator pastes the key itself into the digest column. The error message
 // is displayed and logged, so it must not contain the cell.
 Test(sheet, a_key_pasted_as_digest_is_not_repeated) {
-  const auto Reading = parseSheet(replaced(Good, Digest, "my-secret-key"));
-  for (const control::sheet_fault &Fault : Reading.Faults)
+  const auto Parsed = parseSheet(replaced(Good, Digest, "my-secret-key"));
+  for (const control::sheet_fault &Fault : Parsed.Faults)
     cr_assert(describe(Fault).find("my-secret-key") == std::string::npos);
 }
--- a/tests/wire/message_test.cpp
+++ b/tests/wire/message_test.cpp
@@ -75,7 +75,7 @@
 // A datagram is truncated, modified in transit, or sent by somebody without the
 // fleet's key. An instance that accepted it would act on a false heartbeat or a
 // false grant.
-Test(message, truncated_changed_and_foreign_datagrams_are_dropped) {
+Test(message, truncated_modified_and_unsigned_datagrams_are_dropped) {
   const std::string Bytes = encode(Key, heartbeat());
   for (std::size_t Size = 0; Size < Bytes.size(); ++Size)
     cr_assert(!decode(Key, std::string_view(Bytes).substr(0, Size)));
