--- a/packages/control/include/redwinggw/control/membership.hpp
+++ b/packages/control/include/redwinggw/control/membership.hpp
@@ -126,8 +126,8 @@
   /// instance; to one that reported it directly; and to one that reported it to
   /// a direct reporter. Reports are not passed on any further: the transit time
   /// adds to the error at each hop, so a report that circulated among the
-  /// instances would look ever more recent, and a share allocator would take a
-  /// long outage for over.
+  /// instances would look ever more recent, and a share allocator would mistake
+  /// a long outage for one that has ended.
   std::optional<base::instant> OwnContactAt;
   std::optional<base::instant> PeerContactAt;
   std::optional<base::instant> TwoHopContactAt;
--- a/packages/control/src/config_submission.cpp
+++ b/packages/control/src/config_submission.cpp
@@ -76,10 +76,11 @@
   if (MadeFrom == State.Head.Version)
     return commitOf(State, Submitted, Submission, WallNow);
   if (MadeFrom > State.Head.Version)
-    return refused(errc::BadSheet, "it says that it was made from version " +
-                                       std::to_string(MadeFrom) +
-                                       ", but the newest is " +
-                                       std::to_string(State.Head.Version));
+    return refused(errc::BadSheet,
+                   "the sheet says that it was made from version " +
+                       std::to_string(MadeFrom) +
+                       ", but the newest version is " +
+                       std::to_string(State.Head.Version));
   // Guards against reporting a conflict to an operator who submits a sheet
   // again because the answer was lost: only the version after MadeFrom can hold
   // this sheet, and its digest covers all of it.
@@ -216,10 +217,10 @@
     return {errc::StoreUnreachable, "nothing was changed"};
   const std::string Again =
       std::holds_alternative<configuration>(Submission.Request)
-          ? "submit the same sheet again, it is recognised"
-          : "withdraw the key, which does no harm twice";
+          ? "submit the same sheet again; it is recognised as a repeat"
+          : "withdraw the key, which is safe to repeat";
   return {errc::OutcomeUnknown,
-          "it may have become version " +
+          "the change may have been accepted as version " +
               std::to_string(Submission.Sent->Sheet.Version) + "; " + Again};
 }
 
--- a/packages/control/src/configuration_service.cpp
+++ b/packages/control/src/configuration_service.cpp
@@ -106,7 +106,7 @@
   }
   failure Failure = Submitted.error();
   if (kindOf(Failure) == errc::OutcomeUnknown)
-    Failure.Detail += ": " + Given.Id + "; then give another";
+    Failure.Detail += ": " + Given.Id + "; then give another key";
   co_return Failure;
 }
 
--- a/packages/control/src/relays.cpp
+++ b/packages/control/src/relays.cpp
@@ -40,8 +40,8 @@
   return Zones;
 }
 
-/// The relays among \p Indices: by rank, until \p Wanted of them are in direct
-/// contact.
+/// The relays among \p Indices: by rank, at most MaxCandidates, until \p Wanted
+/// of them are in direct contact.
 zone_members relaysAmong(const membership &Membership,
                          const zone_members &Indices, std::size_t Wanted,
                          instant Now) {
--- a/packages/control/src/sheet_cells.cpp
+++ b/packages/control/src/sheet_cells.cpp
@@ -106,7 +106,7 @@
     return *Address;
   addFault(Faults, Row, sheet_column::Address,
            Cell.empty() ? "is missing" : "'" + Cell + "' is not an address",
-           "IP:port, as 10.0.0.7:5432", "write the IP number and port");
+           "IP:port, as 10.0.0.7:5432", "write the IP address and port");
   return {};
 }
 
