--- a/packages/redwinggw/src/native_configuration.cpp
+++ b/packages/redwinggw/src/native_configuration.cpp
@@ -130,9 +130,9 @@
   const control::member *Holder = configurationHolder(State);
   if (Holder == nullptr || !State.RelayLinks)
     co_return;
-  const session::relay_owner From{Holder->Name, Holder->Address};
+  const session::connection_owner From{Holder->Name, Holder->Address};
   auto Told =
-      co_await State.RelayLinks->askConfiguration(From, State.Stored.Row);
+      co_await State.RelayLinks->fetchConfiguration(From, State.Stored.Row);
   takeConfiguration(State, std::move(Told), From.Name);
 }
 
--- a/packages/redwinggw/src/native_instance.cpp
+++ b/packages/redwinggw/src/native_instance.cpp
@@ -117,7 +117,8 @@
   // The callers go elsewhere now, and their parts of the rates with them.
   yieldRates(State->Shares);
   const auto IsBusy = [&State] {
-    const bool Relays = State->RelayServer && State->RelayServer->leases() > 0;
+    const bool Relays =
+        State->RelayServer && State->RelayServer->pinnedLinks() > 0;
     return State->Callers.open() > 0 || Relays;
   };
   while (IsBusy() && base::now() - Begun < AnswersEnd) {
@@ -189,8 +190,8 @@
   Ports.PrimaryExpected = [&State](std::string_view Service) {
     return primaryExpected(State, Service);
   };
-  Ports.Relay = [&State](const session::endpoint_entry &Entry,
-                         std::string_view Customer, unsigned Priority) {
+  Ports.Forward = [&State](const session::endpoint_entry &Entry,
+                           std::string_view Customer, unsigned Priority) {
     return relayTo(State, Entry, Customer, Priority);
   };
   Ports.NoteTrouble = [](std::string_view) {};
--- a/packages/redwinggw/src/native_relay.cpp
+++ b/packages/redwinggw/src/native_relay.cpp
@@ -91,11 +91,11 @@
 
 void startRelays(native_state &State, const std::string &Secret) {
   const auto Executor = State.Context.get_executor();
-  State.RelayLinks = std::make_unique<session::relay_links>(
+  State.RelayLinks = std::make_unique<session::forwarding_client>(
       Executor, State.Endpoints.Watch, Secret);
-  State.RelayServer =
-      std::make_unique<session::relay_server>(Executor, State.Core, Secret);
-  State.RelayServer->handOnConfiguration([&State] { return State.Stored; });
+  State.RelayServer = std::make_unique<session::forwarding_server>(
+      Executor, State.Core, Secret);
+  State.RelayServer->serveConfigurationFrom([&State] { return State.Stored; });
   // The others go to the endpoints themselves when it does not listen.
   if (const auto Listening = State.RelayServer->listen(State.Settings.Peers);
       !Listening)
@@ -117,7 +117,7 @@
   }
 }
 
-std::unique_ptr<session::relay_link>
+std::unique_ptr<session::forwarding_link>
 relayTo(native_state &State, const session::endpoint_entry &Entry,
         std::string_view Customer, unsigned Priority) {
   if (isOwn(State, Entry.Name) || !State.RelayLinks || !State.Peers)
--- a/packages/redwinggw/src/native_state.hpp
+++ b/packages/redwinggw/src/native_state.hpp
@@ -12,9 +12,9 @@
 #include "redwinggw/http/server.hpp"
 #include "redwinggw/kernel/life_cycle.hpp"
 #include "redwinggw/session/endpoint_owner.hpp"
+#include "redwinggw/session/forwarding_client.hpp"
+#include "redwinggw/session/forwarding_server.hpp"
 #include "redwinggw/session/handover.hpp"
-#include "redwinggw/session/relay_host.hpp"
-#include "redwinggw/session/relay_links.hpp"
 #include "redwinggw/session/session_core.hpp"
 
 #include <boost/asio/io_context.hpp>
@@ -55,8 +55,8 @@
   std::unique_ptr<control::peer_service> Peers;
   /// Statements for other instances, and by them; exist once the fleet's
   /// secret is known.
-  std::unique_ptr<session::relay_server> RelayServer;
-  std::unique_ptr<session::relay_links> RelayLinks;
+  std::unique_ptr<session::forwarding_server> RelayServer;
+  std::unique_ptr<session::forwarding_client> RelayLinks;
   /// Who owns the connections to each endpoint, as this instance sees it.
   std::map<base::endpoint_name, base::instance_name, std::less<>> Owners;
   /// The instances among which these were divided.
@@ -219,7 +219,7 @@
 void divideConnections(native_state &State);
 /// The way to an endpoint through its owner; null when this instance is the
 /// owner or the owner cannot be used now.
-std::unique_ptr<session::relay_link>
+std::unique_ptr<session::forwarding_link>
 relayTo(native_state &State, const session::endpoint_entry &Entry,
         std::string_view Customer, unsigned Priority);
 /// @}
--- a/packages/session/include/redwinggw/session/configuration_relay.hpp
+++ b/packages/session/include/redwinggw/session/configuration_transfer.hpp
@@ -25,7 +25,7 @@
   std::uint64_t Row = 0;
 };
 
-struct configuration_part {
+struct configuration_chunk {
   /// 0: there is none to hand on.
   std::uint64_t Row = 0;
   std::string Text;
@@ -34,8 +34,8 @@
 
 /// The part of \p Configuration that begins at byte \p Begin. Precondition:
 /// \p Begin is within the text. Thread safe.
-configuration_part partOf(const stored_configuration &Configuration,
-                          std::size_t Begin);
+configuration_chunk chunkAt(const stored_configuration &Configuration,
+                            std::size_t Begin);
 
 /// Takes the parts of one configuration in their order.
 struct configuration_assembly {
@@ -44,19 +44,19 @@
   bool Complete = false;
 };
 
-/// Adds \p Part. False when it cannot be of the same configuration, or none is
+/// Adds \p Chunk. False when it cannot be of the same configuration, or none is
 /// handed on: the assembly is of no use then.
-bool addPart(configuration_assembly &Assembly, configuration_part Part);
+bool appendChunk(configuration_assembly &Assembly, configuration_chunk Chunk);
 
-/// Forms of the messages; see encodeRequest in statement_relay.hpp.
+/// Forms of the messages; see encodeRequest in statement_forwarding.hpp.
 /// Thread safe.
 std::string encodeConfigurationRequest(std::string_view Secret,
                                        const configuration_request &Value);
-std::string encodeConfigurationPart(std::string_view Secret,
-                                    const configuration_part &Value);
+std::string encodeConfigurationChunk(std::string_view Secret,
+                                     const configuration_chunk &Value);
 std::optional<configuration_request>
 decodeConfigurationRequest(std::string_view Secret, std::string_view Bytes);
-std::optional<configuration_part>
-decodeConfigurationPart(std::string_view Secret, std::string_view Bytes);
+std::optional<configuration_chunk>
+decodeConfigurationChunk(std::string_view Secret, std::string_view Bytes);
 
 } // namespace redwinggw::session
--- a/packages/session/include/redwinggw/session/endpoint_pool.hpp
+++ b/packages/session/include/redwinggw/session/endpoint_pool.hpp
@@ -6,7 +6,7 @@
 #include "redwinggw/session/endpoint_link.hpp"
 #include "redwinggw/session/replica_lag.hpp"
 #include "redwinggw/session/slot_queue.hpp"
-#include "redwinggw/session/statement_relay.hpp"
+#include "redwinggw/session/statement_forwarding.hpp"
 #include "redwinggw/session/wait_list.hpp"
 
 #include <deque>
@@ -23,7 +23,7 @@
   std::unique_ptr<endpoint_link> Link;
   /// Set in place of Link when the endpoint's owner runs the statements. What
   /// is set up is then known there, and the fields below are not used.
-  std::unique_ptr<relay_link> Relay;
+  std::unique_ptr<forwarding_link> Forwarding;
   base::customer_name Customer;
   /// Session values in force on it, unless it is not known which are.
   session_values Values;
@@ -116,8 +116,8 @@
 
   /// Wraps a way through the endpoint's owner, which takes no connection here.
   /// It is given back or discarded like a connection.
-  link_handle lend(std::unique_ptr<relay_link> Relay,
-                   base::customer_name Customer);
+  link_handle wrapForwarding(std::unique_ptr<forwarding_link> Forwarding,
+                             base::customer_name Customer);
 
   /// Takes a connection back. Precondition: no transaction is open on it.
   void giveBack(link_handle Link);
@@ -196,7 +196,7 @@
   std::size_t Open = 0;
   bool OwnedElsewhere = false;
   /// Statements of this instance that its owner runs.
-  std::size_t Relayed = 0;
+  std::size_t Forwarded = 0;
   std::size_t OwnerLoad = 0;
   std::optional<base::instant> OwnerLoadAt;
   /// When the endpoint last had no connection left for anybody.
--- a/packages/session/include/redwinggw/session/relay_links.hpp
+++ b/packages/session/include/redwinggw/session/forwarding_client.hpp
@@ -2,9 +2,9 @@
 
 #include "redwinggw/base/task.hpp"
 #include "redwinggw/http/address.hpp"
-#include "redwinggw/session/configuration_relay.hpp"
+#include "redwinggw/session/configuration_transfer.hpp"
 #include "redwinggw/session/deadline_watch.hpp"
-#include "redwinggw/session/statement_relay.hpp"
+#include "redwinggw/session/statement_forwarding.hpp"
 
 #include <boost/asio/any_io_executor.hpp>
 
@@ -16,19 +16,19 @@
 namespace redwinggw::session {
 
 /// Where an owner takes statements.
-struct relay_owner {
+struct connection_owner {
   base::instance_name Name;
   http::address Address;
 };
 
 /// Used from one thread. \p Watch outlives it; links may outlive it.
-class relay_links {
+class forwarding_client {
 public:
-  relay_links(boost::asio::any_io_executor Executor, deadline_watch &Watch,
-              std::string Secret);
-  relay_links(const relay_links &) = delete;
-  relay_links &operator=(const relay_links &) = delete;
-  ~relay_links();
+  forwarding_client(boost::asio::any_io_executor Executor,
+                    deadline_watch &Watch, std::string Secret);
+  forwarding_client(const forwarding_client &) = delete;
+  forwarding_client &operator=(const forwarding_client &) = delete;
+  ~forwarding_client();
 
   /// Whether \p Owner may be asked: it has not left a statement without an
   /// answer lately.
@@ -36,15 +36,15 @@
 
   /// A way to \p Endpoint through \p Owner, for a route of \p Priority.
   /// Connects when it is first used.
-  std::unique_ptr<relay_link> to(const relay_owner &Owner,
-                                 base::endpoint_name Endpoint,
-                                 base::customer_name Customer,
-                                 unsigned Priority);
+  std::unique_ptr<forwarding_link> to(const connection_owner &Owner,
+                                      base::endpoint_name Endpoint,
+                                      base::customer_name Customer,
+                                      unsigned Priority);
 
   /// Asks the instance \p From for its configuration. One without a row when it
   /// has none newer than \p Row, is handing it on to others, or is lost.
-  base::task<stored_configuration> askConfiguration(relay_owner From,
-                                                    std::uint64_t Row);
+  base::task<stored_configuration> fetchConfiguration(connection_owner From,
+                                                      std::uint64_t Row);
 
   /// Closes the idle connections to \p Owner: it was away, and its end may
   /// have lost track of them.
--- a/packages/session/include/redwinggw/session/relay_host.hpp
+++ b/packages/session/include/redwinggw/session/forwarding_server.hpp
@@ -1,9 +1,9 @@
 #pragma once
 
-#include "redwinggw/session/configuration_relay.hpp"
+#include "redwinggw/session/configuration_transfer.hpp"
 #include "redwinggw/session/leased_link.hpp"
 #include "redwinggw/session/session_core.hpp"
-#include "redwinggw/session/statement_relay.hpp"
+#include "redwinggw/session/statement_forwarding.hpp"
 
 #include <boost/asio/any_io_executor.hpp>
 
@@ -11,13 +11,13 @@
 #include <memory>
 #include <string>
 
-/// The owner's side of statements that others pass on; statement_relay.hpp
+/// The owner's side of statements that others pass on; statement_forwarding.hpp
 /// tells why they do.
 namespace redwinggw::session {
 
 /// What the owner holds for one way of another instance: a connection while a
 /// transaction is open on it.
-struct relay_lease {
+struct pinned_link {
   leased_link Link;
 };
 
@@ -25,28 +25,29 @@
 /// instance may still use the primary: a statement that waited here must not
 /// reach one that was replaced meanwhile. It is run once at most; the caller's
 /// instance decides whether to try again.
-base::task<relay_reply> serveRelayed(session_core &Core, relay_lease &Lease,
-                                     relay_request Request);
+base::task<forwarding_reply> serveForwarded(session_core &Core,
+                                            pinned_link &Pinned,
+                                            forwarding_request Request);
 
 /// Takes passed-on statements and requests for the configuration over TCP. Used
 /// from one thread; \p Core outlives it.
-class relay_server {
+class forwarding_server {
 public:
   /// Requests have to be signed with \p Secret.
-  relay_server(boost::asio::any_io_executor Executor, session_core &Core,
-               std::string Secret);
-  relay_server(const relay_server &) = delete;
-  relay_server &operator=(const relay_server &) = delete;
-  ~relay_server();
+  forwarding_server(boost::asio::any_io_executor Executor, session_core &Core,
+                    std::string Secret);
+  forwarding_server(const forwarding_server &) = delete;
+  forwarding_server &operator=(const forwarding_server &) = delete;
+  ~forwarding_server();
 
   /// Fails with errc::BadSettings when the address cannot be bound.
   base::result<http::address> listen(const http::address &Address);
 
   /// \p Held gives the configuration in force here, to be handed on.
-  void handOnConfiguration(std::function<stored_configuration()> Held);
+  void serveConfigurationFrom(std::function<stored_configuration()> Held);
 
   /// Connections of endpoints that are held for others' transactions.
-  std::size_t leases() const;
+  std::size_t pinnedLinks() const;
 
   /// Closes everything; what is held is rolled back.
   void stop();
--- a/packages/session/include/redwinggw/session/session_core.hpp
+++ b/packages/session/include/redwinggw/session/session_core.hpp
@@ -44,9 +44,9 @@
   /// A way to the endpoint through the instance that owns its connections;
   /// null when that is this instance, or when the owner cannot be used now.
   /// Unset: there are no owners.
-  std::function<std::unique_ptr<relay_link>(
+  std::function<std::unique_ptr<forwarding_link>(
       const endpoint_entry &, std::string_view Customer, unsigned Priority)>
-      Relay;
+      Forward;
   /// A statement met an endpoint that is not the primary any more, or did not
   /// answer.
   std::function<void(std::string_view Endpoint)> NoteTrouble;
--- a/packages/session/include/redwinggw/session/statement_relay.hpp
+++ b/packages/session/include/redwinggw/session/statement_forwarding.hpp
@@ -21,7 +21,7 @@
 namespace redwinggw::session {
 
 /// Why a statement that was passed on did not run.
-enum class relay_failure : std::uint8_t {
+enum class forwarding_failure : std::uint8_t {
   None,
   /// The owner did not answer, or cannot be reached.
   OwnerLost,
@@ -33,7 +33,7 @@
   EndpointLost,
 };
 
-struct relay_request {
+struct forwarding_request {
   base::endpoint_name Endpoint;
   base::customer_name Customer;
   link_statement Statement;
@@ -44,8 +44,8 @@
   base::milliseconds Patience{0};
 };
 
-struct relay_reply {
-  relay_failure Failure = relay_failure::None;
+struct forwarding_reply {
+  forwarding_failure Failure = forwarding_failure::None;
   exchange Exchange;
   /// For how long the statement was at the endpoint.
   base::milliseconds Ran{0};
@@ -56,18 +56,18 @@
 /// A way to one endpoint through its owner. It holds a connection of the
 /// endpoint while a transaction is open on it; destroying it before the end
 /// of the transaction rolls back. Used from one thread, one run at a time.
-class relay_link {
+class forwarding_link {
 public:
-  relay_link() = default;
-  relay_link(const relay_link &) = delete;
-  relay_link &operator=(const relay_link &) = delete;
-  virtual ~relay_link() = default;
+  forwarding_link() = default;
+  forwarding_link(const forwarding_link &) = delete;
+  forwarding_link &operator=(const forwarding_link &) = delete;
+  virtual ~forwarding_link() = default;
 
   /// Has \p Statement run by the owner. \p WaitUntil bounds the wait for a
   /// turn and a connection. Outcome Broken or TimedOut: it may have run.
-  virtual base::task<relay_reply> run(const link_statement &Statement,
-                                      base::instant WaitUntil,
-                                      base::instant Deadline) = 0;
+  virtual base::task<forwarding_reply> run(const link_statement &Statement,
+                                           base::instant WaitUntil,
+                                           base::instant Deadline) = 0;
 
   /// The owner's name, for logs.
   virtual std::string_view owner() const = 0;
@@ -76,14 +76,15 @@
 /// Forms of the messages, signed with the fleet's secret, and back. Nothing
 /// for bytes that were cut short, changed, or signed with another secret.
 /// Thread safe.
-std::string encodeRequest(std::string_view Secret, const relay_request &Value);
-std::string encodeReply(std::string_view Secret, const relay_reply &Value);
-std::optional<relay_request> decodeRequest(std::string_view Secret,
-                                           std::string_view Bytes);
-std::optional<relay_reply> decodeReply(std::string_view Secret,
-                                       std::string_view Bytes);
+std::string encodeRequest(std::string_view Secret,
+                          const forwarding_request &Value);
+std::string encodeReply(std::string_view Secret, const forwarding_reply &Value);
+std::optional<forwarding_request> decodeRequest(std::string_view Secret,
+                                                std::string_view Bytes);
+std::optional<forwarding_reply> decodeReply(std::string_view Secret,
+                                            std::string_view Bytes);
 
 /// The name of \p Failure in logs. Thread safe.
-std::string_view relayFailureName(relay_failure Failure);
+std::string_view forwardingFailureName(forwarding_failure Failure);
 
 } // namespace redwinggw::session
--- a/packages/session/src/answer_record.cpp
+++ b/packages/session/src/answer_record.cpp
@@ -104,11 +104,11 @@
     writeLine(Core, Session, Request, Answer, Now - Request.Arrived);
 }
 
-void recordRelayed(session_core &Core, const relay_request &Request,
-                   const relay_reply &Reply, base::microseconds Took) {
+void recordForwarded(session_core &Core, const forwarding_request &Request,
+                     const forwarding_reply &Reply, base::microseconds Took) {
   const bool Answered = Reply.Exchange.Outcome == exchange_outcome::Answered;
   add(counterOf(Core.Metrics, metric::RelayedTotal,
-                {std::string(relayFailureName(Reply.Failure))}));
+                {std::string(forwardingFailureName(Reply.Failure))}));
   if (Answered || !mayLog(Core.Budget, true, base::now()))
     return;
   const pool_ptr Pool = poolOf(Core.Set, Request.Endpoint);
@@ -121,7 +121,7 @@
       {{"request", Request.Statement.Id},
        {"customer", Request.Customer},
        {"endpoint", Request.Endpoint},
-       {"failure", std::string(relayFailureName(Reply.Failure))},
+       {"failure", std::string(forwardingFailureName(Reply.Failure))},
        {"running", Count(std::mem_fn(&endpoint_pool::running))},
        {"waiting", Count(std::mem_fn(&endpoint_pool::waiting))},
        {"open", Count(std::mem_fn(&endpoint_pool::open))},
--- a/packages/session/src/core_parts.hpp
+++ b/packages/session/src/core_parts.hpp
@@ -48,7 +48,7 @@
   /// Its answer is waited for until then.
   base::instant TryDeadline;
   /// Why the endpoint's owner did not run the statement.
-  relay_failure Failure = relay_failure::None;
+  forwarding_failure Failure = forwarding_failure::None;
   /// When the owner sent the statement to the endpoint, as it tells.
   std::optional<base::instant> RanSince;
 };
@@ -114,8 +114,8 @@
 
 /// Writes a line, within its bounds, about a passed-on statement that was not
 /// answered, and counts it.
-void recordRelayed(session_core &Core, const relay_request &Request,
-                   const relay_reply &Reply, base::microseconds Took);
+void recordForwarded(session_core &Core, const forwarding_request &Request,
+                     const forwarding_reply &Reply, base::microseconds Took);
 
 answer makeError(answer_code Code, std::string Reason);
 answer makeError(answer_error Error);
--- a/packages/session/src/endpoint_pool.cpp
+++ b/packages/session/src/endpoint_pool.cpp
@@ -220,18 +220,19 @@
       return;
 }
 
-link_handle endpoint_pool::lend(std::unique_ptr<relay_link> Relay,
-                                base::customer_name Customer) {
-  ++Relayed;
+link_handle
+endpoint_pool::wrapForwarding(std::unique_ptr<forwarding_link> Forwarding,
+                              base::customer_name Customer) {
+  ++Forwarded;
   auto Link = std::make_unique<pooled_link>();
-  Link->Relay = std::move(Relay);
+  Link->Forwarding = std::move(Forwarding);
   Link->Customer = std::move(Customer);
   return Link;
 }
 
 void endpoint_pool::giveBack(link_handle Link) {
-  if (Link->Relay) {
-    --Relayed;
+  if (Link->Forwarding) {
+    --Forwarded;
     return;
   }
   Link->UsedAt = base::now();
@@ -240,8 +241,8 @@
 }
 
 void endpoint_pool::discard(link_handle Link) {
-  if (Link->Relay) {
-    --Relayed;
+  if (Link->Forwarding) {
+    --Forwarded;
     return;
   }
   Link.reset();
@@ -273,7 +274,7 @@
 }
 
 std::size_t endpoint_pool::load(instant Now) const {
-  const std::size_t Own = Slots.Running + waiting() + Relayed;
+  const std::size_t Own = Slots.Running + waiting() + Forwarded;
   const bool Told = OwnerLoadAt && Now - *OwnerLoadAt < OwnerLoadCounts;
   return Told ? std::max(Own, OwnerLoad) : Own;
 }
--- a/packages/session/src/endpoint_set.cpp
+++ b/packages/session/src/endpoint_set.cpp
@@ -15,9 +15,9 @@
   Candidate.IsPrimary = IsPrimary;
   Candidate.SameZone = Entry.Zone == Zone;
   Candidate.Draining = Entry.Draining;
-  const bool Relayed = Pool.isOwnedElsewhere();
-  Candidate.HasIdle = Relayed || Pool.hasIdle(Customer);
-  Candidate.Exhausted = !Relayed && Pool.isExhausted();
+  const bool Forwarded = Pool.isOwnedElsewhere();
+  Candidate.HasIdle = Forwarded || Pool.hasIdle(Customer);
+  Candidate.Exhausted = !Forwarded && Pool.isExhausted();
   Candidate.Load = Pool.load(Now);
   Candidate.Slots = Entry.Slots;
   Candidate.LatencyMs = Health.Latency;
--- a/packages/session/src/relay_links.cpp
+++ b/packages/session/src/forwarding_client.cpp
@@ -1,4 +1,4 @@
-#include "redwinggw/session/relay_links.hpp"
+#include "redwinggw/session/forwarding_client.hpp"
 
 #include "frame_stream.hpp"
 
@@ -29,7 +29,7 @@
 /// endpoint that is late can be told from an owner that is.
 constexpr milliseconds AnswerMargin{40};
 /// A part of a configuration is there by then, or the instance is lost.
-constexpr milliseconds PartTime{1000};
+constexpr milliseconds ChunkTimeout{1000};
 
 milliseconds spanTo(instant Until) {
   const auto Left = std::chrono::floor<milliseconds>(Until - base::now());
@@ -38,10 +38,10 @@
 
 } // namespace
 
-struct relay_links::state : std::enable_shared_from_this<state> {
+struct forwarding_client::state : std::enable_shared_from_this<state> {
   /// What is known of one owner.
-  struct way {
-    relay_owner Owner;
+  struct owner_connections {
+    connection_owner Owner;
     std::list<std::unique_ptr<frame_stream>> Idle;
     std::optional<instant> LostAt;
   };
@@ -53,22 +53,25 @@
 
   class link;
 
-  std::unique_ptr<frame_stream> takeIdle(way &Way);
-  base::task<std::unique_ptr<frame_stream>> connect(const relay_owner &Owner,
-                                                    instant Deadline);
-  base::task<std::optional<configuration_part>> nextPart(frame_stream &Stream);
-  void noteLost(way &Way, std::string_view What);
+  std::unique_ptr<frame_stream> takeIdle(owner_connections &Connections);
+  base::task<std::unique_ptr<frame_stream>>
+  connect(const connection_owner &Owner, instant Deadline);
+  base::task<std::optional<configuration_chunk>>
+  nextChunk(frame_stream &Stream);
+  void noteLost(owner_connections &Connections, std::string_view What);
 
   asio::any_io_executor Executor;
   deadline_watch &Watch;
   std::string Secret;
-  std::map<base::instance_name, std::shared_ptr<way>, std::less<>> Ways;
+  std::map<base::instance_name, std::shared_ptr<owner_connections>, std::less<>>
+      Owners;
 };
 
-std::unique_ptr<frame_stream> relay_links::state::takeIdle(way &Way) {
-  while (!Way.Idle.empty()) {
-    auto Stream = std::move(Way.Idle.front());
-    Way.Idle.pop_front();
+std::unique_ptr<frame_stream>
+forwarding_client::state::takeIdle(owner_connections &Connections) {
+  while (!Connections.Idle.empty()) {
+    auto Stream = std::move(Connections.Idle.front());
+    Connections.Idle.pop_front();
     if (Stream->isQuiet())
       return Stream;
   }
@@ -76,7 +79,8 @@
 }
 
 base::task<std::unique_ptr<frame_stream>>
-relay_links::state::connect(const relay_owner &Owner, instant Deadline) {
+forwarding_client::state::connect(const connection_owner &Owner,
+                                  instant Deadline) {
   boost::system::error_code Bad;
   const auto Host = asio::ip::make_address(Owner.Address.Host, Bad);
   if (Bad)
@@ -87,54 +91,58 @@
     boost::system::error_code Ignored;
     Socket.close(Ignored);
   });
-  const asio::ip::tcp::endpoint To(Host, Owner.Address.Port);
-  const auto [Error] = co_await Socket.async_connect(To, Token);
+  const asio::ip::tcp::endpoint Remote(Host, Owner.Address.Port);
+  const auto [Error] = co_await Socket.async_connect(Remote, Token);
   if (Error || Guard.expired())
     co_return nullptr;
   co_return std::make_unique<frame_stream>(std::move(Socket));
 }
 
-base::task<std::optional<configuration_part>>
-relay_links::state::nextPart(frame_stream &Stream) {
-  const deadline_guard Guard(Watch, base::now() + PartTime,
+base::task<std::optional<configuration_chunk>>
+forwarding_client::state::nextChunk(frame_stream &Stream) {
+  const deadline_guard Guard(Watch, base::now() + ChunkTimeout,
                              [&Stream] { Stream.close(); });
   const auto Bytes = co_await Stream.next();
   if (!Bytes)
     co_return std::nullopt;
-  co_return decodeConfigurationPart(Secret, *Bytes);
+  co_return decodeConfigurationChunk(Secret, *Bytes);
 }
 
-void relay_links::state::noteLost(way &Way, std::string_view What) {
-  Way.LostAt = base::now();
+void forwarding_client::state::noteLost(owner_connections &Connections,
+                                        std::string_view What) {
+  Connections.LostAt = base::now();
   // The network may have lost track of the other connections as well.
-  Way.Idle.clear();
-  base::logEvent(base::log_level::Warning, base::log_part::Peers, "owner_lost",
-                 {{"owner", Way.Owner.Name}, {"reason", std::string(What)}});
+  Connections.Idle.clear();
+  base::logEvent(
+      base::log_level::Warning, base::log_part::Peers, "owner_lost",
+      {{"owner", Connections.Owner.Name}, {"reason", std::string(What)}});
 }
 
 /// A statement's way over TCP; one connection serves it until its transaction
 /// ends.
-class relay_links::state::link final : public relay_link {
+class forwarding_client::state::link final : public forwarding_link {
 public:
-  link(std::shared_ptr<state> Links, std::shared_ptr<way> To,
+  link(std::shared_ptr<state> Client,
+       std::shared_ptr<owner_connections> Connections,
        base::endpoint_name Endpoint, base::customer_name Customer,
        unsigned Priority)
-      : Links(std::move(Links)), To(std::move(To)),
+      : Client(std::move(Client)), Connections(std::move(Connections)),
         Endpoint(std::move(Endpoint)), Customer(std::move(Customer)),
         Priority(Priority) {}
 
-  base::task<relay_reply> run(const link_statement &Statement,
-                              instant WaitUntil, instant Deadline) override;
-  std::string_view owner() const override { return To->Owner.Name; }
+  base::task<forwarding_reply> run(const link_statement &Statement,
+                                   instant WaitUntil,
+                                   instant Deadline) override;
+  std::string_view owner() const override { return Connections->Owner.Name; }
 
 private:
   base::task<bool> open(instant Deadline);
   std::string requestFor(const link_statement &Statement, instant WaitUntil,
                          instant Deadline) const;
-  base::task<relay_reply> converse(std::string Bytes);
+  base::task<forwarding_reply> converse(std::string Bytes);
 
-  std::shared_ptr<state> Links;
-  std::shared_ptr<way> To;
+  std::shared_ptr<state> Client;
+  std::shared_ptr<owner_connections> Connections;
   base::endpoint_name Endpoint;
   base::customer_name Customer;
   unsigned Priority;
@@ -143,57 +151,58 @@
   bool Held = false;
 };
 
-base::task<bool> relay_links::state::link::open(instant Deadline) {
+base::task<bool> forwarding_client::state::link::open(instant Deadline) {
   if (!Stream)
-    Stream = Links->takeIdle(*To);
+    Stream = Client->takeIdle(*Connections);
   if (!Stream)
-    Stream = co_await Links->connect(To->Owner, Deadline);
+    Stream = co_await Client->connect(Connections->Owner, Deadline);
   co_return Stream != nullptr;
 }
 
 std::string
-relay_links::state::link::requestFor(const link_statement &Statement,
-                                     instant WaitUntil,
-                                     instant Deadline) const {
-  relay_request Request;
+forwarding_client::state::link::requestFor(const link_statement &Statement,
+                                           instant WaitUntil,
+                                           instant Deadline) const {
+  forwarding_request Request;
   Request.Endpoint = Endpoint;
   Request.Customer = Customer;
   Request.Statement = Statement;
   Request.Priority = Priority;
   Request.TimeLeft = spanTo(Deadline - AnswerMargin);
   Request.Patience = spanTo(WaitUntil);
-  return encodeRequest(Links->Secret, Request);
+  return encodeRequest(Client->Secret, Request);
 }
 
 /// Sends a request and reads the reply. OwnerLost when none came.
-base::task<relay_reply> relay_links::state::link::converse(std::string Bytes) {
-  relay_reply Lost;
-  Lost.Failure = relay_failure::OwnerLost;
+base::task<forwarding_reply>
+forwarding_client::state::link::converse(std::string Bytes) {
+  forwarding_reply Lost;
+  Lost.Failure = forwarding_failure::OwnerLost;
   const bool Sent = co_await Stream->send(Bytes);
   if (!Sent)
     co_return Lost;
   const auto Answer = co_await Stream->next();
-  auto Reply = decodeReply(Links->Secret, Answer.value_or(std::string()));
+  auto Reply = decodeReply(Client->Secret, Answer.value_or(std::string()));
   co_return std::move(Reply).value_or(Lost);
 }
 
-base::task<relay_reply>
-relay_links::state::link::run(const link_statement &Statement,
-                              instant WaitUntil, instant Deadline) {
-  relay_reply Lost;
-  Lost.Failure = relay_failure::OwnerLost;
+base::task<forwarding_reply>
+forwarding_client::state::link::run(const link_statement &Statement,
+                                    instant WaitUntil, instant Deadline) {
+  forwarding_reply Lost;
+  Lost.Failure = forwarding_failure::OwnerLost;
   const bool Opened = co_await open(Deadline);
   if (!Opened) {
-    Links->noteLost(*To, "cannot connect");
+    Client->noteLost(*Connections, "cannot connect");
     co_return Lost;
   }
-  const deadline_guard Guard(Links->Watch, Deadline,
+  const deadline_guard Guard(Client->Watch, Deadline,
                              [this] { Stream->close(); });
   std::string Bytes = requestFor(Statement, WaitUntil, Deadline);
-  relay_reply Reply = co_await converse(std::move(Bytes));
-  if (Reply.Failure == relay_failure::OwnerLost) {
+  forwarding_reply Reply = co_await converse(std::move(Bytes));
+  if (Reply.Failure == forwarding_failure::OwnerLost) {
     Stream.reset();
-    Links->noteLost(*To, Guard.expired() ? "no answer" : "broke off");
+    Client->noteLost(*Connections, Guard.expired() ? "no answer" : "broke off");
     // It was sent, at least in part, and may have run.
     Reply.Exchange.Outcome =
         Guard.expired() ? exchange_outcome::TimedOut : exchange_outcome::Broken;
@@ -207,55 +216,56 @@
   const bool Free = Ended || (!Answered && !Held);
   Held = Answered && !Ended;
   if (Free && !Guard.expired())
-    To->Idle.push_front(std::move(Stream));
+    Connections->Idle.push_front(std::move(Stream));
   if (!Held)
     Stream.reset();
   co_return Reply;
 }
 
-relay_links::relay_links(asio::any_io_executor Executor, deadline_watch &Watch,
-                         std::string Secret)
+forwarding_client::forwarding_client(asio::any_io_executor Executor,
+                                     deadline_watch &Watch, std::string Secret)
     : State(std::make_shared<state>(std::move(Executor), Watch,
                                     std::move(Secret))) {}
 
-relay_links::~relay_links() = default;
+forwarding_client::~forwarding_client() = default;
 
-bool relay_links::isUsable(std::string_view Owner, instant Now) const {
-  const auto Found = State->Ways.find(Owner);
-  if (Found == State->Ways.end())
+bool forwarding_client::isUsable(std::string_view Owner, instant Now) const {
+  const auto Found = State->Owners.find(Owner);
+  if (Found == State->Owners.end())
     return true;
   const auto LostAt = Found->second->LostAt;
   return !LostAt || Now - *LostAt > LostPause;
 }
 
-std::unique_ptr<relay_link> relay_links::to(const relay_owner &Owner,
-                                            base::endpoint_name Endpoint,
-                                            base::customer_name Customer,
-                                            unsigned Priority) {
-  auto &Way = State->Ways[Owner.Name];
-  if (!Way || Way->Owner.Address != Owner.Address) {
+std::unique_ptr<forwarding_link>
+forwarding_client::to(const connection_owner &Owner,
+                      base::endpoint_name Endpoint,
+                      base::customer_name Customer, unsigned Priority) {
+  auto &Connections = State->Owners[Owner.Name];
+  if (!Connections || Connections->Owner.Address != Owner.Address) {
     // A new process under the name, or the first statement for this owner.
-    Way = std::make_shared<state::way>();
-    Way->Owner = Owner;
+    Connections = std::make_shared<state::owner_connections>();
+    Connections->Owner = Owner;
   }
-  return std::make_unique<state::link>(State, Way, std::move(Endpoint),
+  return std::make_unique<state::link>(State, Connections, std::move(Endpoint),
                                        std::move(Customer), Priority);
 }
 
 base::task<stored_configuration>
-relay_links::askConfiguration(relay_owner From, std::uint64_t Row) {
-  const auto Links = State;
-  const auto Stream = co_await Links->connect(From, base::now() + ConnectTime);
+forwarding_client::fetchConfiguration(connection_owner From,
+                                      std::uint64_t Row) {
+  const auto Client = State;
+  const auto Stream = co_await Client->connect(From, base::now() + ConnectTime);
   if (!Stream)
     co_return stored_configuration();
   const configuration_request Request{Row};
-  const std::string Bytes = encodeConfigurationRequest(Links->Secret, Request);
+  const std::string Bytes = encodeConfigurationRequest(Client->Secret, Request);
   const bool Sent = co_await Stream->send(Bytes);
   configuration_assembly Assembly;
   bool Goes = Sent;
   while (Goes && !Assembly.Complete) {
-    auto Part = co_await Links->nextPart(*Stream);
-    Goes = Part && addPart(Assembly, std::move(*Part));
+    auto Chunk = co_await Client->nextChunk(*Stream);
+    Goes = Chunk && appendChunk(Assembly, std::move(*Chunk));
   }
   if (!Goes)
     co_return stored_configuration();
@@ -264,9 +274,9 @@
       std::make_shared<const std::string>(std::move(Assembly.Text))};
 }
 
-void relay_links::closeIdle(std::string_view Owner) {
-  const auto Found = State->Ways.find(Owner);
-  if (Found != State->Ways.end())
+void forwarding_client::closeIdle(std::string_view Owner) {
+  const auto Found = State->Owners.find(Owner);
+  if (Found != State->Owners.end())
     Found->second->Idle.clear();
 }
 
--- a/packages/session/src/relay_codec.cpp
+++ b/packages/session/src/forwarding_codec.cpp
@@ -1,6 +1,6 @@
 #include "redwinggw/base/enum_table.hpp"
-#include "redwinggw/session/configuration_relay.hpp"
-#include "redwinggw/session/statement_relay.hpp"
+#include "redwinggw/session/configuration_transfer.hpp"
+#include "redwinggw/session/statement_forwarding.hpp"
 #include "redwinggw/wire/signature.hpp"
 
 #include <cereal/archives/binary.hpp>
@@ -19,7 +19,7 @@
 enum class message_form : std::uint8_t {
   Statement = 1,
   ConfigurationRequest = 2,
-  ConfigurationPart = 3,
+  ConfigurationChunk = 3,
 };
 /// Callers' messages have at most 1 MiB; what is longer is damaged.
 constexpr std::uint64_t LongestText = std::uint64_t{2} << 20U;
@@ -166,7 +166,7 @@
 
 template <typename Side, typename Request>
 void transferMessage(Side &Ar, Request &Value)
-  requires std::is_same_v<std::remove_const_t<Request>, relay_request>
+  requires std::is_same_v<std::remove_const_t<Request>, forwarding_request>
 {
   Ar.text(Value.Endpoint);
   Ar.text(Value.Customer);
@@ -178,9 +178,9 @@
 
 template <typename Side, typename Reply>
 void transferMessage(Side &Ar, Reply &Value)
-  requires std::is_same_v<std::remove_const_t<Reply>, relay_reply>
+  requires std::is_same_v<std::remove_const_t<Reply>, forwarding_reply>
 {
-  Ar.choice(Value.Failure, relay_failure::EndpointLost);
+  Ar.choice(Value.Failure, forwarding_failure::EndpointLost);
   Ar.choice(Value.Exchange.Outcome, exchange_outcome::TimedOut);
   transferAnswer(Ar, Value.Exchange.Answer);
   Ar.time(Value.Ran);
@@ -194,9 +194,9 @@
   Ar.number(Value.Row);
 }
 
-template <typename Side, typename Part>
-void transferMessage(Side &Ar, Part &Value)
-  requires std::is_same_v<std::remove_const_t<Part>, configuration_part>
+template <typename Side, typename Chunk>
+void transferMessage(Side &Ar, Chunk &Value)
+  requires std::is_same_v<std::remove_const_t<Chunk>, configuration_chunk>
 {
   Ar.number(Value.Row);
   Ar.text(Value.Text);
@@ -209,8 +209,8 @@
 constexpr message_form FormOf<configuration_request> =
     message_form::ConfigurationRequest;
 template <>
-constexpr message_form FormOf<configuration_part> =
-    message_form::ConfigurationPart;
+constexpr message_form FormOf<configuration_chunk> =
+    message_form::ConfigurationChunk;
 
 template <typename Message>
 std::string encode(std::string_view Secret, const Message &Value) {
@@ -242,32 +242,34 @@
 }
 
 constexpr std::array FailureNames =
-    std::to_array<base::enum_name<relay_failure>>({
-        {relay_failure::None, "none"},
-        {relay_failure::OwnerLost, "owner_lost"},
-        {relay_failure::NoConnection, "no_connection"},
-        {relay_failure::Refused, "refused"},
-        {relay_failure::EndpointLost, "endpoint_lost"},
+    std::to_array<base::enum_name<forwarding_failure>>({
+        {forwarding_failure::None, "none"},
+        {forwarding_failure::OwnerLost, "owner_lost"},
+        {forwarding_failure::NoConnection, "no_connection"},
+        {forwarding_failure::Refused, "refused"},
+        {forwarding_failure::EndpointLost, "endpoint_lost"},
     });
 
 } // namespace
 
-std::string encodeRequest(std::string_view Secret, const relay_request &Value) {
+std::string encodeRequest(std::string_view Secret,
+                          const forwarding_request &Value) {
   return encode(Secret, Value);
 }
 
-std::string encodeReply(std::string_view Secret, const relay_reply &Value) {
+std::string encodeReply(std::string_view Secret,
+                        const forwarding_reply &Value) {
   return encode(Secret, Value);
 }
 
-std::optional<relay_request> decodeRequest(std::string_view Secret,
-                                           std::string_view Bytes) {
-  return decode<relay_request>(Secret, Bytes);
+std::optional<forwarding_request> decodeRequest(std::string_view Secret,
+                                                std::string_view Bytes) {
+  return decode<forwarding_request>(Secret, Bytes);
 }
 
-std::optional<relay_reply> decodeReply(std::string_view Secret,
-                                       std::string_view Bytes) {
-  return decode<relay_reply>(Secret, Bytes);
+std::optional<forwarding_reply> decodeReply(std::string_view Secret,
+                                            std::string_view Bytes) {
+  return decode<forwarding_reply>(Secret, Bytes);
 }
 
 std::string encodeConfigurationRequest(std::string_view Secret,
@@ -275,8 +277,8 @@
   return encode(Secret, Value);
 }
 
-std::string encodeConfigurationPart(std::string_view Secret,
-                                    const configuration_part &Value) {
+std::string encodeConfigurationChunk(std::string_view Secret,
+                                     const configuration_chunk &Value) {
   return encode(Secret, Value);
 }
 
@@ -285,12 +287,12 @@
   return decode<configuration_request>(Secret, Bytes);
 }
 
-std::optional<configuration_part>
-decodeConfigurationPart(std::string_view Secret, std::string_view Bytes) {
-  return decode<configuration_part>(Secret, Bytes);
+std::optional<configuration_chunk>
+decodeConfigurationChunk(std::string_view Secret, std::string_view Bytes) {
+  return decode<configuration_chunk>(Secret, Bytes);
 }
 
-std::string_view relayFailureName(relay_failure Failure) {
+std::string_view forwardingFailureName(forwarding_failure Failure) {
   return base::nameOf(FailureNames, Failure);
 }
 
--- /dev/null
+++ b/packages/session/src/forwarding_server.cpp
@@ -0,0 +1,194 @@
+#include "redwinggw/session/forwarding_server.hpp"
+
+#include "frame_stream.hpp"
+
+#include "redwinggw/base/log.hpp"
+#include "redwinggw/http/listen.hpp"
+
+#include <boost/asio/co_spawn.hpp>
+#include <boost/asio/detached.hpp>
+
+#include <algorithm>
+#include <set>
+
+/// The TCP side of statements that others pass on.
+namespace redwinggw::session {
+namespace {
+
+namespace asio = boost::asio;
+using base::instant;
+
+/// A transaction whose instance says nothing for so much longer than callers
+/// may rest in one is rolled back: that instance is frozen or gone.
+constexpr base::milliseconds IdleMargin{1000};
+/// Configurations that are handed on at a time. Who is turned down asks another
+/// instance, which may have had it from here.
+constexpr unsigned MaxTransfers = 2;
+/// An instance that does not take a part for so long is frozen or gone.
+constexpr base::milliseconds ChunkSendTimeout{2000};
+
+} // namespace
+
+struct forwarding_server::state : std::enable_shared_from_this<state> {
+  /// One connection of another instance.
+  struct connection {
+    explicit connection(asio::ip::tcp::socket Socket)
+        : Stream(std::move(Socket)) {}
+    frame_stream Stream;
+    pinned_link Pinned;
+  };
+
+  state(asio::any_io_executor Executor, session_core &Core, std::string Secret)
+      : Executor(Executor), Core(Core), Secret(std::move(Secret)),
+        Acceptor(Executor) {}
+
+  void take(asio::ip::tcp::socket Socket);
+  base::task<void> serveConnection(std::shared_ptr<connection> Connection);
+  base::task<std::optional<std::string>> nextMessage(connection &Connection);
+  base::task<bool> serveMessage(connection &Connection, std::string Bytes);
+  base::task<bool> serveConfiguration(connection &Connection,
+                                      configuration_request Request);
+  base::task<bool> sendChunk(connection &Connection, configuration_chunk Chunk);
+
+  asio::any_io_executor Executor;
+  session_core &Core;
+  std::string Secret;
+  asio::ip::tcp::acceptor Acceptor;
+  std::set<std::shared_ptr<connection>> Connections;
+  std::function<stored_configuration()> Configuration;
+  unsigned ActiveTransfers = 0;
+};
+
+void forwarding_server::state::take(asio::ip::tcp::socket Socket) {
+  const auto Connection = std::make_shared<connection>(std::move(Socket));
+  Connections.insert(Connection);
+  asio::co_spawn(Executor, serveConnection(Connection), asio::detached);
+}
+
+base::task<std::optional<std::string>>
+forwarding_server::state::nextMessage(connection &Connection) {
+  if (!Connection.Pinned.Link)
+    co_return co_await Connection.Stream.next();
+  // Statements may come before this instance has read its configuration.
+  const route_table_ptr Table = Core.Ports.Routes();
+  const base::milliseconds IdleTime =
+      Table ? Table->TransactionIdle : route_table().TransactionIdle;
+  const instant Latest = base::now() + IdleTime + IdleMargin;
+  const deadline_guard Guard(Core.Set.Watch, Latest,
+                             [&Connection] { Connection.Stream.close(); });
+  co_return co_await Connection.Stream.next();
+}
+
+base::task<bool>
+forwarding_server::state::sendChunk(connection &Connection,
+                                    configuration_chunk Chunk) {
+  const std::string Bytes = encodeConfigurationChunk(Secret, Chunk);
+  const deadline_guard Guard(Core.Set.Watch, base::now() + ChunkSendTimeout,
+                             [&Connection] { Connection.Stream.close(); });
+  co_return co_await Connection.Stream.send(Bytes);
+}
+
+base::task<bool>
+forwarding_server::state::serveConfiguration(connection &Connection,
+                                             configuration_request Request) {
+  stored_configuration Held;
+  if (Configuration && ActiveTransfers < MaxTransfers)
+    Held = Configuration();
+  if (Held.Row <= Request.Row || !Held.Text) {
+    configuration_chunk Nothing;
+    co_return co_await sendChunk(Connection, std::move(Nothing));
+  }
+  ++ActiveTransfers;
+  std::size_t Begin = 0;
+  bool Sent = true;
+  bool Last = false;
+  while (Sent && !Last) {
+    configuration_chunk Chunk = chunkAt(Held, Begin);
+    Begin += Chunk.Text.size();
+    Last = Chunk.Last;
+    Sent = co_await sendChunk(Connection, std::move(Chunk));
+  }
+  --ActiveTransfers;
+  co_return Sent;
+}
+
+/// Answers one message; false when the connection is of no more use.
+base::task<bool> forwarding_server::state::serveMessage(connection &Connection,
+                                                        std::string Bytes) {
+  if (auto Request = decodeRequest(Secret, Bytes)) {
+    const forwarding_reply Reply =
+        co_await serveForwarded(Core, Connection.Pinned, std::move(*Request));
+    const std::string Answer = encodeReply(Secret, Reply);
+    co_return co_await Connection.Stream.send(Answer);
+  }
+  if (const auto Request = decodeConfigurationRequest(Secret, Bytes))
+    co_return co_await serveConfiguration(Connection, *Request);
+  // Another version, another fleet's secret, or a foreign program.
+  base::log(base::log_level::Warning, base::log_part::Peers,
+            "A message cannot be read; its connection is closed.");
+  co_return false;
+}
+
+base::task<void> forwarding_server::state::serveConnection(
+    std::shared_ptr<connection> Connection) {
+  const auto Self = shared_from_this();
+  try {
+    bool Served = true;
+    while (Served) {
+      auto Bytes = co_await nextMessage(*Connection);
+      if (!Bytes)
+        break;
+      Served = co_await serveMessage(*Connection, std::move(*Bytes));
+    }
+  } catch (const std::exception &Fault) {
+    base::log(base::log_level::Error, base::log_part::Peers,
+              std::string("A relayed statement failed unexpectedly: ") +
+                  Fault.what());
+  }
+  Connection->Stream.close();
+  // The end of the connection rolls back what is open on it.
+  Connection->Pinned = pinned_link();
+  Connections.erase(Connection);
+}
+
+forwarding_server::forwarding_server(asio::any_io_executor Executor,
+                                     session_core &Core, std::string Secret)
+    : State(std::make_shared<state>(std::move(Executor), Core,
+                                    std::move(Secret))) {}
+
+forwarding_server::~forwarding_server() { stop(); }
+
+base::result<http::address>
+forwarding_server::listen(const http::address &Address) {
+  const auto Listening = http::listenAt(State->Acceptor, Address);
+  if (Listening)
+    asio::co_spawn(
+        State->Executor,
+        http::acceptConnections(State->Acceptor,
+                                [Self = State](asio::ip::tcp::socket Socket) {
+                                  Self->take(std::move(Socket));
+                                }),
+        asio::detached);
+  return Listening;
+}
+
+void forwarding_server::serveConfigurationFrom(
+    std::function<stored_configuration()> Held) {
+  State->Configuration = std::move(Held);
+}
+
+std::size_t forwarding_server::pinnedLinks() const {
+  return static_cast<std::size_t>(
+      std::ranges::count_if(State->Connections, [](const auto &Connection) {
+        return static_cast<bool>(Connection->Pinned.Link);
+      }));
+}
+
+void forwarding_server::stop() {
+  boost::system::error_code Ignored;
+  State->Acceptor.close(Ignored);
+  for (const auto &Connection : State->Connections)
+    Connection->Stream.close();
+}
+
+} // namespace redwinggw::session
--- a/packages/session/src/link_setup.cpp
+++ b/packages/session/src/link_setup.cpp
@@ -68,7 +68,7 @@
 
 base::task<bool> prepareLink(pooled_link &Link, const session_values &Wanted,
                              base::instant Deadline) {
-  if (Link.Relay)
+  if (Link.Forwarding)
     co_return true;
   if (Link.ValuesKnown && Link.Values == Wanted)
     co_return true;
--- a/packages/session/src/placement.cpp
+++ b/packages/session/src/placement.cpp
@@ -72,13 +72,13 @@
 
 /// The way to the endpoint through its owner; null when this instance goes
 /// there itself.
-std::unique_ptr<relay_link> relayTo(const session_core &Core,
-                                    const caller_session &Session,
-                                    const request &Request,
-                                    const endpoint_entry &Entry) {
-  if (Request.Direct || !Core.Ports.Relay)
+std::unique_ptr<forwarding_link> forwardingLinkTo(const session_core &Core,
+                                                  const caller_session &Session,
+                                                  const request &Request,
+                                                  const endpoint_entry &Entry) {
+  if (Request.Direct || !Core.Ports.Forward)
     return nullptr;
-  return Core.Ports.Relay(Entry, Session.Customer, Request.Route.Priority);
+  return Core.Ports.Forward(Entry, Session.Customer, Request.Route.Priority);
 }
 
 /// Tries to get a connection to \p Name. Nothing when that endpoint cannot
@@ -90,9 +90,10 @@
   if (Pool == nullptr)
     co_return std::nullopt;
   placement Placement;
-  if (auto Relay = relayTo(Core, Session, Request, Pool->entry())) {
-    Placement.Link =
-        leased_link(Pool, Pool->lend(std::move(Relay), Session.Customer));
+  if (auto Forwarding =
+          forwardingLinkTo(Core, Session, Request, Pool->entry())) {
+    Placement.Link = leased_link(
+        Pool, Pool->wrapForwarding(std::move(Forwarding), Session.Customer));
     co_return Placement;
   }
   slot_pass Pass = co_await takeTurn(Pool, levelOf(Request.Route.Priority),
--- a/packages/session/src/relay_host.cpp
+++ b/packages/session/src/serve_forwarded.cpp
@@ -1,4 +1,4 @@
-#include "redwinggw/session/relay_host.hpp"
+#include "redwinggw/session/forwarding_server.hpp"
 
 #include "core_parts.hpp"
 #include "link_setup.hpp"
@@ -10,9 +10,10 @@
 
 using base::instant;
 
-relay_failure failureOf(acquire_failure Failure) {
-  return Failure == acquire_failure::Exhausted ? relay_failure::NoConnection
-                                               : relay_failure::EndpointLost;
+forwarding_failure failureOf(acquire_failure Failure) {
+  return Failure == acquire_failure::Exhausted
+             ? forwarding_failure::NoConnection
+             : forwarding_failure::EndpointLost;
 }
 
 bool mayUse(const session_core &Core, const link_statement &Statement) {
@@ -21,70 +22,71 @@
 
 /// Gives the transaction that has the lease a turn for its next statement. One
 /// that finds none cannot go on: its connection is closed, which rolls back.
-base::task<relay_failure> continueLease(relay_lease &Lease,
-                                        const relay_request &Request,
-                                        instant Arrived) {
-  const bool Same = Lease.Link.Pool->entry().Name == Request.Endpoint &&
-                    Lease.Link.Link->Customer == Request.Customer;
+base::task<forwarding_failure> continuePinned(pinned_link &Pinned,
+                                              const forwarding_request &Request,
+                                              instant Arrived) {
+  const bool Same = Pinned.Link.Pool->entry().Name == Request.Endpoint &&
+                    Pinned.Link.Link->Customer == Request.Customer;
   // A rollback needs no slot.
   if (Same && Request.Statement.Action == link_action::Rollback)
-    co_return relay_failure::None;
+    co_return forwarding_failure::None;
   if (Same) {
     slot_pass Pass =
-        co_await takeTurn(Lease.Link.Pool, slot_level::Begun, Request.Customer,
+        co_await takeTurn(Pinned.Link.Pool, slot_level::Begun, Request.Customer,
                           Arrived + Request.TimeLeft);
     if (Pass) {
-      Lease.Link.Pass = std::move(Pass);
-      co_return relay_failure::None;
+      Pinned.Link.Pass = std::move(Pass);
+      co_return forwarding_failure::None;
     }
   }
-  Lease.Link = leased_link();
-  co_return relay_failure::NoConnection;
+  Pinned.Link = leased_link();
+  co_return forwarding_failure::NoConnection;
 }
 
 /// Gives the lease a turn, and a connection unless it has one.
-base::task<relay_failure> lease(session_core &Core, relay_lease &Lease,
-                                const relay_request &Request, instant Arrived) {
-  if (Lease.Link)
-    co_return co_await continueLease(Lease, Request, Arrived);
+base::task<forwarding_failure> pinLink(session_core &Core, pinned_link &Pinned,
+                                       const forwarding_request &Request,
+                                       instant Arrived) {
+  if (Pinned.Link)
+    co_return co_await continuePinned(Pinned, Request, Arrived);
   // Only the transaction's own connection can go on with it.
   if (Request.Statement.Action == link_action::Rollback)
-    co_return relay_failure::Refused;
+    co_return forwarding_failure::Refused;
   const pool_ptr Pool = poolOf(Core.Set, Request.Endpoint);
   if (Pool == nullptr || !mayUse(Core, Request.Statement))
-    co_return relay_failure::Refused;
+    co_return forwarding_failure::Refused;
   const session_values Values =
       Request.Statement.Values.value_or(session_values());
   const instant WaitUntil = Arrived + Request.Patience;
   slot_pass Pass = co_await takeTurn(Pool, levelOf(Request.Priority),
                                      Request.Customer, WaitUntil);
   if (!Pass)
-    co_return relay_failure::NoConnection;
+    co_return forwarding_failure::NoConnection;
   acquired Acquired = co_await Pool->acquire(
       Request.Customer, Values, WaitUntil, Arrived + Request.TimeLeft);
   if (!Acquired.Link)
     co_return failureOf(Acquired.Failure);
-  Lease.Link = leased_link(Pool, std::move(Acquired.Link));
-  Lease.Link.Pass = std::move(Pass);
-  co_return relay_failure::None;
+  Pinned.Link = leased_link(Pool, std::move(Acquired.Link));
+  Pinned.Link.Pass = std::move(Pass);
+  co_return forwarding_failure::None;
 }
 
 /// Takes in how the endpoint did, and ends the lease with the transaction.
-void settleLease(relay_lease &Lease, const relay_reply &Reply) {
+void settlePinned(pinned_link &Pinned, const forwarding_reply &Reply) {
   const exchange &Exchange = Reply.Exchange;
-  endpoint_pool &Pool = *Lease.Link.Pool;
+  endpoint_pool &Pool = *Pinned.Link.Pool;
   if (Exchange.Outcome == exchange_outcome::Answered) {
     Pool.noteSuccess(Exchange.SentAt, base::now());
     if (Exchange.Answer.State == transaction_state::Idle)
-      Lease.Link.giveBack();
+      Pinned.Link.giveBack();
     return;
   }
   // A right that was lost during the set-up is not the endpoint's failure.
-  if (Reply.Failure != relay_failure::Refused) {
+  if (Reply.Failure != forwarding_failure::Refused) {
     Pool.noteFailure(base::now());
     Pool.closeIdle();
   }
-  Lease.Link = leased_link();
+  Pinned.Link = leased_link();
 }
 
 std::uint16_t loadOf(session_core &Core, const base::endpoint_name &Name) {
@@ -97,28 +99,29 @@
 
 } // namespace
 
-base::task<relay_reply> serveRelayed(session_core &Core, relay_lease &Lease,
-                                     relay_request Request) {
+base::task<forwarding_reply> serveForwarded(session_core &Core,
+                                            pinned_link &Pinned,
+                                            forwarding_request Request) {
   const instant Arrived = base::now();
-  relay_reply Reply;
-  Reply.Failure = co_await lease(Core, Lease, Request, Arrived);
-  if (Reply.Failure == relay_failure::None) {
-    const pool_ptr Pool = Lease.Link.Pool;
+  forwarding_reply Reply;
+  Reply.Failure = co_await pinLink(Core, Pinned, Request, Arrived);
+  if (Reply.Failure == forwarding_failure::None) {
+    const pool_ptr Pool = Pinned.Link.Pool;
     const instant Sent = base::now();
     Pool->noteSent(Sent);
     Reply.Exchange =
-        co_await runOnLink(*Lease.Link.Link, Request.Statement,
+        co_await runOnLink(*Pinned.Link.Link, Request.Statement,
                            Core.Ports.StillHolds, Arrived + Request.TimeLeft);
     Pool->noteEnded(Sent);
     Reply.Ran = std::chrono::ceil<base::milliseconds>(base::now() - Sent);
-    Lease.Link.Pass = slot_pass();
+    Pinned.Link.Pass = slot_pass();
     if (!mayUse(Core, Request.Statement) &&
         Reply.Exchange.Outcome == exchange_outcome::NotSent)
-      Reply.Failure = relay_failure::Refused;
-    settleLease(Lease, Reply);
+      Reply.Failure = forwarding_failure::Refused;
+    settlePinned(Pinned, Reply);
   }
   Reply.Load = loadOf(Core, Request.Endpoint);
-  recordRelayed(Core, Request, Reply, base::now() - Arrived);
+  recordForwarded(Core, Request, Reply, base::now() - Arrived);
   co_return Reply;
 }
 
--- a/packages/session/src/transaction.cpp
+++ b/packages/session/src/transaction.cpp
@@ -87,9 +87,10 @@
 base::task<exchange> runOnEither(pooled_link &Link,
                                  const link_statement &Statement,
                                  base::instant Deadline) {
-  if (!Link.Relay)
+  if (!Link.Forwarding)
     co_return co_await runOnLink(Link, Statement, {}, Deadline);
-  relay_reply Reply = co_await Link.Relay->run(Statement, Deadline, Deadline);
+  forwarding_reply Reply =
+      co_await Link.Forwarding->run(Statement, Deadline, Deadline);
   co_return std::move(Reply.Exchange);
 }
 
--- a/packages/session/src/try_statement.cpp
+++ b/packages/session/src/try_statement.cpp
@@ -38,20 +38,20 @@
 base::task<exchange> runByOwner(session_core &Core, request &Request,
                                 placement &Placement,
                                 const link_statement &Statement) {
-  relay_link &Relay = *Placement.Link.Link->Relay;
+  forwarding_link &Forwarding = *Placement.Link.Link->Forwarding;
   endpoint_pool &Pool = *Placement.Link.Pool;
-  Request.Via = Relay.owner();
+  Request.Via = Forwarding.owner();
   const instant WaitUntil =
       Placement.Begun ? Placement.TryDeadline : queueEnd(Core, Request);
-  relay_reply Reply =
-      co_await Relay.run(Statement, WaitUntil, Placement.TryDeadline);
+  forwarding_reply Reply =
+      co_await Forwarding.run(Statement, WaitUntil, Placement.TryDeadline);
   Placement.Failure = Reply.Failure;
   Placement.RanSince = base::now() - Reply.Ran;
-  if (Reply.Failure != relay_failure::OwnerLost)
+  if (Reply.Failure != forwarding_failure::OwnerLost)
     Pool.noteOwnerLoad(Reply.Load, base::now());
-  if (Reply.Failure != relay_failure::None)
+  if (Reply.Failure != forwarding_failure::None)
     Request.LastTrouble = Pool.entry().Name + " through " + Request.Via + ": " +
-                          std::string(relayFailureName(Reply.Failure));
+                          std::string(forwardingFailureName(Reply.Failure));
   co_return std::move(Reply.Exchange);
 }
 
@@ -66,7 +66,7 @@
     Link.Pass = co_await takeTurn(Link.Pool, slot_level::Begun,
                                   Link.Link->Customer, Placement.TryDeadline);
   if (!Link.Pass) {
-    Placement.Failure = relay_failure::NoConnection;
+    Placement.Failure = forwarding_failure::NoConnection;
     co_return exchange();
   }
   co_return co_await runOnLink(*Link.Link, Statement, Core.Ports.StillHolds,
@@ -81,7 +81,7 @@
   const instant Sent = base::now();
   Pool->noteSent(Sent);
   exchange Exchange;
-  if (Placement.Link.Link->Relay) {
+  if (Placement.Link.Link->Forwarding) {
     Exchange = co_await runByOwner(Core, Request, Placement, Statement);
     Exchange.SentAt = Sent;
   } else {
@@ -155,8 +155,8 @@
 /// set-up.
 bool endpointFailed(const session_core &Core, const placement &Placement,
                     const exchange &Exchange) {
-  if (Placement.Failure != relay_failure::None)
-    return Placement.Failure == relay_failure::EndpointLost;
+  if (Placement.Failure != forwarding_failure::None)
+    return Placement.Failure == forwarding_failure::EndpointLost;
   const bool RightLost = Exchange.Outcome == exchange_outcome::NotSent &&
                          Placement.Right &&
                          !Core.Ports.StillHolds(*Placement.Right);
@@ -176,8 +176,8 @@
     return;
   }
   // The next try does better without an owner that could not help.
-  Request.Direct = Placement.Failure != relay_failure::None &&
-                   Placement.Failure != relay_failure::NoConnection;
+  Request.Direct = Placement.Failure != forwarding_failure::None &&
+                   Placement.Failure != forwarding_failure::NoConnection;
   if (!endpointFailed(Core, Placement, Exchange))
     return;
   Pool.noteFailure(base::now());
@@ -188,7 +188,7 @@
 bool mayRetry(const session_core &Core, const request &Request,
               const placement &Last) {
   const instant Now = base::now();
-  const bool Crowded = Last.Failure == relay_failure::NoConnection;
+  const bool Crowded = Last.Failure == forwarding_failure::NoConnection;
   return Now < (Crowded ? patienceEnd(Core, Request) : Request.Deadline);
 }
 
--- a/tests/session/configuration_relay_test.cpp
+++ b/tests/session/configuration_transfer_test.cpp
@@ -1,6 +1,6 @@
-#include "redwinggw/session/configuration_relay.hpp"
-#include "redwinggw/session/relay_host.hpp"
-#include "redwinggw/session/relay_links.hpp"
+#include "redwinggw/session/configuration_transfer.hpp"
+#include "redwinggw/session/forwarding_client.hpp"
+#include "redwinggw/session/forwarding_server.hpp"
 
 #include "fake_endpoint.hpp"
 
@@ -26,7 +26,7 @@
         Server(Context.get_executor(), Holder.Core, Secret),
         Links(Context.get_executor(), Asker.Set.Watch, Secret) {
     Address = Server.listen({"127.0.0.1", 0}).value();
-    Server.handOnConfiguration([this] { return Held; });
+    Server.serveConfigurationFrom([this] { return Held; });
   }
   ~configuration_pair() {
     Server.stop();
@@ -34,8 +34,8 @@
   }
 
   base::task<void> askOnce(std::uint64_t Row) {
-    const relay_owner From{"holder", Address};
-    Answers.push_back(co_await Links.askConfiguration(From, Row));
+    const connection_owner From{"holder", Address};
+    Answers.push_back(co_await Links.fetchConfiguration(From, Row));
   }
 
   /// Asks so many times at once and waits for all answers.
@@ -50,8 +50,8 @@
   fake_group Group;
   bench_core Holder;
   bench_core Asker;
-  relay_server Server;
-  relay_links Links;
+  forwarding_server Server;
+  forwarding_client Links;
   http::address Address;
   stored_configuration Held;
   std::vector<stored_configuration> Answers;
@@ -60,7 +60,7 @@
 } // namespace
 
 // Guards against a largest size of what instances can hand on.
-Test(configuration_relay, hands_on_a_configuration_of_any_size) {
+Test(configuration_transfer, hands_on_a_configuration_of_any_size) {
   configuration_pair Pair;
   Pair.Held = largeConfiguration(9);
   Pair.ask(5);
@@ -68,7 +68,7 @@
   cr_assert(*Pair.Answers[0].Text == *Pair.Held.Text);
 }
 
-Test(configuration_relay, hands_on_nothing_that_is_not_newer) {
+Test(configuration_transfer, hands_on_nothing_that_is_not_newer) {
   configuration_pair Pair;
   Pair.ask(0);
   cr_assert(Pair.Answers[0].Row == 0);
@@ -79,7 +79,7 @@
 }
 
 // Guards against a link that all others' requests fill at once.
-Test(configuration_relay, turns_down_more_than_it_can_send_at_a_time) {
+Test(configuration_transfer, turns_down_more_than_it_can_send_at_a_time) {
   configuration_pair Pair;
   Pair.Held = largeConfiguration(9);
   constexpr std::size_t Askers = 10;
@@ -93,28 +93,28 @@
 }
 
 // Guards against a text made of two configurations.
-Test(configuration_relay, takes_no_parts_of_two_configurations) {
+Test(configuration_transfer, takes_no_parts_of_two_configurations) {
   configuration_assembly Assembly;
-  cr_assert(addPart(Assembly, {9, "begin", false}));
-  cr_assert(!addPart(Assembly, {10, "end", true}));
+  cr_assert(appendChunk(Assembly, {9, "begin", false}));
+  cr_assert(!appendChunk(Assembly, {10, "end", true}));
 }
 
-Test(configuration_relay, messages_come_back_as_they_were) {
+Test(configuration_transfer, messages_come_back_as_they_were) {
   const configuration_request Request{300};
   const std::string Asked = encodeConfigurationRequest(Secret, Request);
   const auto Again = decodeConfigurationRequest(Secret, Asked);
   cr_assert(Again && Again->Row == 300);
-  const configuration_part Part{7, "text", false};
-  const std::string Told = encodeConfigurationPart(Secret, Part);
-  const auto Read = decodeConfigurationPart(Secret, Told);
+  const configuration_chunk Chunk{7, "text", false};
+  const std::string Told = encodeConfigurationChunk(Secret, Chunk);
+  const auto Read = decodeConfigurationChunk(Secret, Told);
   cr_assert(Read && Read->Row == 7 && Read->Text == "text" && !Read->Last);
 }
 
 // Guards against one kind of message being taken for another.
-Test(configuration_relay, refuses_other_messages_and_secrets) {
+Test(configuration_transfer, refuses_other_messages_and_secrets) {
   const configuration_request Request{300};
   const std::string Asked = encodeConfigurationRequest(Secret, Request);
-  cr_assert(!decodeConfigurationPart(Secret, Asked));
+  cr_assert(!decodeConfigurationChunk(Secret, Asked));
   cr_assert(!decodeConfigurationRequest("another", Asked));
   cr_assert(!decodeConfigurationRequest(Secret, Asked.substr(1)));
 }
--- a/tests/session/relay_codec_test.cpp
+++ b/tests/session/forwarding_codec_test.cpp
@@ -1,4 +1,4 @@
-#include "redwinggw/session/statement_relay.hpp"
+#include "redwinggw/session/statement_forwarding.hpp"
 #include "redwinggw/wire/signature.hpp"
 
 #include <random>
@@ -13,8 +13,8 @@
 
 const std::string Secret = "the fleet's secret";
 
-relay_request fullRequest() {
-  relay_request Request;
+forwarding_request fullRequest() {
+  forwarding_request Request;
   Request.Endpoint = "i-1";
   Request.Customer = "acme";
   Request.Statement.Action = link_action::Caller;
@@ -30,9 +30,9 @@
   return Request;
 }
 
-relay_reply fullReply() {
-  relay_reply Reply;
-  Reply.Failure = relay_failure::None;
+forwarding_reply fullReply() {
+  forwarding_reply Reply;
+  Reply.Failure = forwarding_failure::None;
   Reply.Exchange.Outcome = exchange_outcome::Answered;
   Reply.Exchange.Answer.Rows = {"qhz", "", std::string(70'000, 'x')};
   Reply.Exchange.Answer.Signature = "7.1f3.c";
@@ -44,7 +44,7 @@
 
 } // namespace
 
-Test(relay_codec, keeps_a_request) {
+Test(forwarding_codec, keeps_a_request) {
   const auto Read = decodeRequest(Secret, encodeRequest(Secret, fullRequest()));
   cr_assert(Read);
   const link_statement &Statement = Read->Statement;
@@ -59,7 +59,7 @@
   cr_assert(Read->Patience == base::milliseconds(30));
 }
 
-Test(relay_codec, keeps_a_reply) {
+Test(forwarding_codec, keeps_a_reply) {
   const auto Read = decodeReply(Secret, encodeReply(Secret, fullReply()));
   cr_assert(Read && Read->Load == 700);
   const answer &Answer = Read->Exchange.Answer;
@@ -69,23 +69,23 @@
   cr_assert(Answer.Point == log_point({3, 300}));
 }
 
-Test(relay_codec, keeps_an_error) {
-  relay_reply Reply;
+Test(forwarding_codec, keeps_an_error) {
+  forwarding_reply Reply;
   Reply.Exchange.Outcome = exchange_outcome::Answered;
   Reply.Exchange.Answer.Error = answer_error{answer_code::TooLarge, "a reason"};
   const auto Read = decodeReply(Secret, encodeReply(Secret, Reply));
-  const auto Error = Read.value_or(relay_reply()).Exchange.Answer.Error;
+  const auto Error = Read.value_or(forwarding_reply()).Exchange.Answer.Error;
   cr_assert(Error && Error->Code == answer_code::TooLarge &&
             Error->Reason == "a reason");
 }
 
 // Anybody who reaches the port could otherwise run statements as any customer.
-Test(relay_codec, refuses_another_secret) {
+Test(forwarding_codec, refuses_another_secret) {
   cr_assert(!decodeRequest("guessed", encodeRequest(Secret, fullRequest())));
   cr_assert(!decodeReply("guessed", encodeReply(Secret, fullReply())));
 }
 
-Test(relay_codec, refuses_what_was_cut_or_changed) {
+Test(forwarding_codec, refuses_what_was_cut_or_changed) {
   const std::string Bytes = encodeRequest(Secret, fullRequest());
   for (std::size_t Length = 0; Length < Bytes.size(); ++Length)
     cr_assert(!decodeRequest(Secret, Bytes.substr(0, Length)));
@@ -98,7 +98,7 @@
 
 // An instance of another version signs rightly but speaks otherwise: whatever
 // its bytes say, reading them must end, in bounded memory.
-Test(relay_codec, survives_signed_nonsense) {
+Test(forwarding_codec, survives_signed_nonsense) {
   std::mt19937 Random(4711);
   const std::string SignedRequest = encodeRequest(Secret, fullRequest());
   const std::string SignedReply = encodeReply(Secret, fullReply());
--- a/tests/session/relay_test.cpp
+++ b/tests/session/forwarding_test.cpp
@@ -1,5 +1,5 @@
-#include "redwinggw/session/relay_host.hpp"
-#include "redwinggw/session/relay_links.hpp"
+#include "redwinggw/session/forwarding_client.hpp"
+#include "redwinggw/session/forwarding_server.hpp"
 
 #include "fake_endpoint.hpp"
 
@@ -19,27 +19,27 @@
 
 /// An owner of all endpoints and instances that pass their statements on to
 /// it, over real connections, in one loop.
-struct relay_fleet {
-  explicit relay_fleet(std::size_t Instances = 1)
+struct forwarding_fleet {
+  explicit forwarding_fleet(std::size_t Instances = 1)
       : Owner(Context, Group),
         Server(Context.get_executor(), Owner.Core, std::string(Secret)) {
     Address = Server.listen({"127.0.0.1", 0}).value();
     for (std::size_t Index = 0; Index < Instances; ++Index)
       add();
   }
-  ~relay_fleet() {
+  ~forwarding_fleet() {
     Server.stop();
     Context.poll();
   }
 
   void add() {
     bench_core &Instance = Instances.emplace_back(Context, Group);
-    Links.push_back(std::make_unique<relay_links>(
+    Links.push_back(std::make_unique<forwarding_client>(
         Context.get_executor(), Instance.Set.Watch, std::string(Secret)));
-    Instance.Core.Ports.Relay =
+    Instance.Core.Ports.Forward =
         [this, Via = Links.back().get()](
             const endpoint_entry &Entry, std::string_view Customer,
-            unsigned Priority) -> std::unique_ptr<relay_link> {
+            unsigned Priority) -> std::unique_ptr<forwarding_link> {
       if (!Via->isUsable("owner", base::now()))
         return nullptr;
       return Via->to({"owner", Address}, Entry.Name, std::string(Customer),
@@ -67,10 +67,10 @@
   boost::asio::io_context Context;
   fake_group Group;
   bench_core Owner;
-  relay_server Server;
+  forwarding_server Server;
   http::address Address;
   std::deque<bench_core> Instances;
-  std::deque<std::unique_ptr<relay_links>> Links;
+  std::deque<std::unique_ptr<forwarding_client>> Links;
 };
 
 bool failedWith(const answer &Answer, answer_code Code) {
@@ -89,8 +89,8 @@
 // Callers at nine instances, of two customers, write and read in turn. Each
 // customer needs a connection to an endpoint, and not each instance one for
 // each customer: that would be eighteen to the primary alone.
-Test(relay, serves_many_instances_over_few_connections) {
-  relay_fleet Fleet(9);
+Test(forwarding, serves_many_instances_over_few_connections) {
+  forwarding_fleet Fleet(9);
   constexpr std::size_t Rounds = 20;
   for (std::size_t Round = 0; Round < Rounds; ++Round)
     for (bench_core &Instance : Fleet.Instances)
@@ -107,8 +107,8 @@
 
 // A session's values and prepared statements go with each of its statements,
 // and another session's never show.
-Test(relay, sets_up_the_session_where_the_connection_is) {
-  relay_fleet Fleet;
+Test(forwarding, sets_up_the_session_where_the_connection_is) {
+  forwarding_fleet Fleet;
   bench_core &Instance = Fleet.first();
   caller_session First = Instance.open("strict");
   caller_session Second = Instance.open("strict");
@@ -128,8 +128,8 @@
                           "PREPARE p1 READ q", "EXECUTE p1 1"}));
 }
 
-Test(relay, keeps_a_transaction_on_one_connection) {
-  relay_fleet Fleet(2);
+Test(forwarding, keeps_a_transaction_on_one_connection) {
+  forwarding_fleet Fleet(2);
   bench_core &Instance = Fleet.first();
   bench_core &Other = Fleet.Instances.back();
   caller_session Session = Instance.open("own");
@@ -149,14 +149,14 @@
   cr_assert(Own.size() == 4 && Others.size() == 1);
   cr_assert(std::ranges::count(Own, Own.front()) == 4);
   cr_assert(Others.front() != Own.front());
-  cr_assert(Fleet.Server.leases() == 0);
+  cr_assert(Fleet.Server.pinnedLinks() == 0);
 }
 
 // A user pays. The owner passes the payment on and dies before its answer is
 // there: the payment may have run. It must not be sent again, by another way
 // either, nor be called "not run".
-Test(relay, never_repeats_a_write_whose_owner_went) {
-  relay_fleet Fleet;
+Test(forwarding, never_repeats_a_write_whose_owner_went) {
+  forwarding_fleet Fleet;
   bench_core &Instance = Fleet.first();
   Fleet.Group.Script = [&](const seen_statement &) -> std::optional<exchange> {
     Fleet.Server.stop();
@@ -168,8 +168,8 @@
 }
 
 // The same for a read: its caller sees nothing of it.
-Test(relay, repeats_a_read_whose_owner_went) {
-  relay_fleet Fleet;
+Test(forwarding, repeats_a_read_whose_owner_went) {
+  forwarding_fleet Fleet;
   bench_core &Instance = Fleet.first();
   caller_session Session = Instance.open("strict");
   bool Stopped = false;
@@ -185,8 +185,8 @@
 // The owner was stopped, and the list does not tell yet. A write that could
 // not be handed over has not run: the caller's instance goes to the endpoint
 // itself.
-Test(relay, goes_to_the_endpoint_itself_when_the_owner_is_gone) {
-  relay_fleet Fleet;
+Test(forwarding, goes_to_the_endpoint_itself_when_the_owner_is_gone) {
+  forwarding_fleet Fleet;
   bench_core &Instance = Fleet.first();
   Fleet.Server.stop();
   caller_session Session = Instance.open("strict");
@@ -197,8 +197,8 @@
 
 // A write waits at the owner while the primary is replaced, and the owner knows
 // already: it must not reach the old primary any more.
-Test(relay, does_not_send_to_a_primary_that_the_owner_knows_replaced) {
-  relay_fleet Fleet;
+Test(forwarding, does_not_send_to_a_primary_that_the_owner_knows_replaced) {
+  forwarding_fleet Fleet;
   bench_core &Instance = Fleet.first();
   Fleet.Owner.Right = primary_right{"s", "r1", 2};
   caller_session Session = Instance.open("strict");
@@ -210,8 +210,8 @@
 
 // The primary is replaced while a passed-on write is under way. The owner has
 // the answer; the caller's instance must not pass it on as a success.
-Test(relay, does_not_acknowledge_a_write_of_a_replaced_primary) {
-  relay_fleet Fleet;
+Test(forwarding, does_not_acknowledge_a_write_of_a_replaced_primary) {
+  forwarding_fleet Fleet;
   bench_core &Instance = Fleet.first();
   Fleet.Group.Script = [&](const seen_statement &) -> std::optional<exchange> {
     Instance.Right = primary_right{"s", "r1", 2};
@@ -223,15 +223,15 @@
 
 // An instance dies with a transaction open. Its connection at the owner is
 // closed, which rolls back, and is never given to another session.
-Test(relay, rolls_back_for_an_instance_that_went) {
-  relay_fleet Fleet(2);
+Test(forwarding, rolls_back_for_an_instance_that_went) {
+  forwarding_fleet Fleet(2);
   caller_session Left = Fleet.first().open("strict");
   Fleet.first().run(Left, statement_kind::Begin, "BEGIN");
   cr_assert(!Fleet.first().write(Left).Error);
   const std::size_t Abandoned = Fleet.Group.Seen.back().Connection;
-  cr_assert(Fleet.Server.leases() == 1);
+  cr_assert(Fleet.Server.pinnedLinks() == 1);
   Left.Transaction.reset();
-  while (Fleet.Server.leases() != 0)
+  while (Fleet.Server.pinnedLinks() != 0)
     Fleet.Context.run_one();
   bench_core &Other = Fleet.Instances.back();
   caller_session Session = Other.open("strict");
@@ -240,8 +240,8 @@
   cr_assert(connectionsOf(Fleet.Group) == 2);
 }
 
-Test(relay, gives_the_connection_back_after_a_rollback) {
-  relay_fleet Fleet;
+Test(forwarding, gives_the_connection_back_after_a_rollback) {
+  forwarding_fleet Fleet;
   bench_core &Instance = Fleet.first();
   caller_session Session = Instance.open("strict");
   for (unsigned Round = 0; Round < 3; ++Round) {
@@ -249,7 +249,7 @@
     cr_assert(!Instance.write(Session).Error);
     cr_assert(
         !Instance.run(Session, statement_kind::Rollback, "ROLLBACK").Error);
-    cr_assert(Fleet.Server.leases() == 0);
+    cr_assert(Fleet.Server.pinnedLinks() == 0);
   }
   cr_assert(Fleet.Group.Connections == 1);
 }
@@ -257,8 +257,8 @@
 // A transaction's statement finds no turn at the owner in its time. Its caller
 // is told that the transaction is aborted. The owner still held its connection
 // for that way, and ran the next statement on it, of another customer.
-Test(relay, ends_a_transaction_that_finds_no_turn) {
-  relay_fleet Fleet;
+Test(forwarding, ends_a_transaction_that_finds_no_turn) {
+  forwarding_fleet Fleet;
   bench_core &Instance = Fleet.first();
   caller_session Session = Instance.open("strict");
   Instance.run(Session, statement_kind::Begin, "BEGIN");
@@ -271,7 +271,7 @@
   for (unsigned Slot = 0; Slot < AllSlots; ++Slot)
     Taken.push_back(Fleet.take(Pool));
   cr_assert(failedWith(Instance.write(Session), answer_code::Aborted));
-  cr_assert(Fleet.Server.leases() == 0);
+  cr_assert(Fleet.Server.pinnedLinks() == 0);
   Taken.clear();
   caller_session Other = Instance.open("strict", "key2");
   cr_assert(!Instance.write(Other).Error);
@@ -281,8 +281,8 @@
 
 // An instance has just started: the others know it and pass on a transaction,
 // and it has not read the configuration yet.
-Test(relay, serves_transactions_before_the_owner_has_a_configuration) {
-  relay_fleet Fleet;
+Test(forwarding, serves_transactions_before_the_owner_has_a_configuration) {
+  forwarding_fleet Fleet;
   bench_core &Instance = Fleet.first();
   Fleet.Owner.Routes = nullptr;
   caller_session Session = Instance.open("strict");
@@ -293,8 +293,8 @@
 }
 
 // Guards against avoiding an endpoint for what its owner learned meanwhile.
-Test(relay, does_not_blame_an_endpoint_for_a_right_that_the_owner_lost) {
-  relay_fleet Fleet;
+Test(forwarding, does_not_blame_an_endpoint_for_a_right_that_the_owner_lost) {
+  forwarding_fleet Fleet;
   bench_core &Instance = Fleet.first();
   caller_session Session = Instance.open("strict");
   Instance.run(Session, statement_kind::Set, "SET a 1", "a", "1");
