--- a/packages/redwinggw/src/native_instance.cpp
+++ b/packages/redwinggw/src/native_instance.cpp
@@ -181,11 +181,11 @@
   Ports.Settle = [&State](std::string_view Customer, bool Ran) {
     settleDemandToken(State.Shares, Customer, Ran, base::now());
   };
-  Ports.Right = [&State](std::string_view Service) {
+  Ports.PrimaryLease = [&State](std::string_view Service) {
     return rightTo(State, Service);
   };
-  Ports.StillHolds = [&State](const session::primary_right &Right) {
-    return rightTo(State, Right.Service) == Right;
+  Ports.StillHolds = [&State](const session::primary_lease &PrimaryLease) {
+    return rightTo(State, PrimaryLease.Service) == PrimaryLease;
   };
   Ports.PrimaryExpected = [&State](std::string_view Service) {
     return primaryExpected(State, Service);
--- a/packages/redwinggw/src/native_rights.cpp
+++ b/packages/redwinggw/src/native_rights.cpp
@@ -48,7 +48,7 @@
   return {};
 }
 
-std::optional<session::primary_right> rightTo(native_state &State,
+std::optional<session::primary_lease> rightTo(native_state &State,
                                               std::string_view Service) {
   const auto *Known = findClaim(State.Claims, Service);
   if (Known != nullptr && Known->Claim.Moving)
@@ -56,7 +56,7 @@
   base::endpoint_name Primary = primaryOf(State, Service);
   if (Primary.empty() || !isInTouch(State))
     return std::nullopt;
-  return session::primary_right{std::string(Service), std::move(Primary),
+  return session::primary_lease{std::string(Service), std::move(Primary),
                                 Known == nullptr ? 0 : Known->Claim.Epoch};
 }
 
--- a/packages/redwinggw/src/native_state.hpp
+++ b/packages/redwinggw/src/native_state.hpp
@@ -176,7 +176,7 @@
 bool isInTouch(native_state &State);
 /// Notes the outcome of a call to the store, and logs a change.
 void noteStore(native_state &State, bool Answered, std::string_view Reason);
-std::optional<session::primary_right> rightTo(native_state &State,
+std::optional<session::primary_lease> rightTo(native_state &State,
                                               std::string_view Service);
 /// The endpoint in use as the primary of \p Service; empty when there is none.
 base::endpoint_name primaryOf(const native_state &State,
--- a/packages/session/include/redwinggw/session/endpoint_set.hpp
+++ b/packages/session/include/redwinggw/session/endpoint_set.hpp
@@ -3,7 +3,7 @@
 #include "redwinggw/session/endpoint_choice.hpp"
 #include "redwinggw/session/endpoint_pool.hpp"
 #include "redwinggw/session/freshness.hpp"
-#include "redwinggw/session/primary_right.hpp"
+#include "redwinggw/session/primary_lease.hpp"
 
 #include <boost/asio/any_io_executor.hpp>
 
@@ -44,16 +44,17 @@
 pool_ptr poolOf(endpoint_set &Set, std::string_view Endpoint);
 
 /// Endpoints of \p Service that may serve a read, best first: replicas, and
-/// the primary when \p Right allows. Draining ones only where no other is.
+/// the primary when \p PrimaryLease allows. Draining ones only where no other
+/// is.
 /// \p Required: what a replica has to prove.
 std::vector<choice_candidate>
 readCandidates(endpoint_set &Set, std::string_view Service,
-               std::string_view Customer, const primary_right *Right,
+               std::string_view Customer, const primary_lease *PrimaryLease,
                const std::optional<required_point> &Required,
                base::instant Now);
 
 /// Adds what a primary's answer shows about its log.
-void notePoint(endpoint_set &Set, const primary_right &Right,
+void notePoint(endpoint_set &Set, const primary_lease &PrimaryLease,
                base::instant SentAt, log_point Point);
 
 } // namespace redwinggw::session
--- a/packages/session/include/redwinggw/session/link_statement.hpp
+++ b/packages/session/include/redwinggw/session/link_statement.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "redwinggw/session/log_point.hpp"
-#include "redwinggw/session/primary_right.hpp"
+#include "redwinggw/session/primary_lease.hpp"
 #include "redwinggw/session/session_values.hpp"
 
 #include <cstdint>
@@ -35,7 +35,7 @@
   std::optional<log_point> After;
   /// Set when the endpoint is used as the primary: judged once more right
   /// before the statement is sent, since setting up takes time.
-  std::optional<primary_right> Right;
+  std::optional<primary_lease> PrimaryLease;
 };
 
 } // namespace redwinggw::session
--- a/packages/session/include/redwinggw/session/session.hpp
+++ b/packages/session/include/redwinggw/session/session.hpp
@@ -30,7 +30,7 @@
   link_handle Link;
   pool_ptr Pool;
   /// Set when it runs on the primary.
-  std::optional<primary_right> Right;
+  std::optional<primary_lease> PrimaryLease;
 };
 
 struct caller_session {
--- a/packages/session/include/redwinggw/session/session_core.hpp
+++ b/packages/session/include/redwinggw/session/session_core.hpp
@@ -34,9 +34,10 @@
   /// given back to the customer's rate.
   settle_port Settle;
   /// The right to use the service's primary, if this instance has it now.
-  std::function<std::optional<primary_right>(std::string_view Service)> Right;
+  std::function<std::optional<primary_lease>(std::string_view Service)>
+      PrimaryLease;
   /// Whether the right has held ever since it was given.
-  std::function<bool(const primary_right &)> StillHolds;
+  std::function<bool(const primary_lease &)> StillHolds;
   /// Time until the service should have a primary again; nothing when that is
   /// not known.
   std::function<std::optional<base::milliseconds>(std::string_view Service)>
--- a/packages/session/src/core_parts.hpp
+++ b/packages/session/src/core_parts.hpp
@@ -40,7 +40,7 @@
 struct placement {
   leased_link Link;
   /// Set when the endpoint is used as the primary.
-  std::optional<primary_right> Right;
+  std::optional<primary_lease> PrimaryLease;
   /// The point that the endpoint must have.
   std::optional<required_point> Required;
   /// It belongs to a transaction that has begun on this connection.
--- a/packages/session/src/endpoint_set.cpp
+++ b/packages/session/src/endpoint_set.cpp
@@ -61,7 +61,7 @@
 
 std::vector<choice_candidate>
 readCandidates(endpoint_set &Set, std::string_view Service,
-               std::string_view Customer, const primary_right *Right,
+               std::string_view Customer, const primary_lease *PrimaryLease,
                const std::optional<required_point> &Required,
                base::instant Now) {
   std::vector<choice_candidate> Candidates;
@@ -71,7 +71,8 @@
     const pool_ptr Pool = Serves ? poolOf(Set, Name) : nullptr;
     if (Pool == nullptr)
       continue;
-    const bool IsPrimary = Right != nullptr && Right->Endpoint == Name;
+    const bool IsPrimary =
+        PrimaryLease != nullptr && PrimaryLease->Endpoint == Name;
     choice_candidate &Candidate = Candidates.emplace_back(
         candidateOf(*Pool, Customer, Set.Zone, IsPrimary, Now));
     Candidate.Trails = !IsPrimary && Required &&
@@ -80,9 +81,9 @@
   return rank(std::move(Candidates), Set.Choice, Now);
 }
 
-void notePoint(endpoint_set &Set, const primary_right &Right,
+void notePoint(endpoint_set &Set, const primary_lease &PrimaryLease,
                base::instant SentAt, log_point Point) {
-  addSample(Set.Samples[Right.Service], {SentAt, Point}, base::now());
+  addSample(Set.Samples[PrimaryLease.Service], {SentAt, Point}, base::now());
 }
 
 } // namespace redwinggw::session
--- a/packages/session/src/forwarding_codec.cpp
+++ b/packages/session/src/forwarding_codec.cpp
@@ -145,10 +145,10 @@
   Ar.text(Value.Prepared);
   Ar.text(Value.Arguments);
   Ar.optional(Value.After, [&](auto &Point) { transferPoint(Ar, Point); });
-  Ar.optional(Value.Right, [&](auto &Right) {
-    Ar.text(Right.Service);
-    Ar.text(Right.Endpoint);
-    Ar.number(Right.Epoch);
+  Ar.optional(Value.PrimaryLease, [&](auto &PrimaryLease) {
+    Ar.text(PrimaryLease.Service);
+    Ar.text(PrimaryLease.Endpoint);
+    Ar.number(PrimaryLease.Epoch);
   });
 }
 
--- a/packages/session/src/link_setup.cpp
+++ b/packages/session/src/link_setup.cpp
@@ -96,7 +96,7 @@
 
 base::task<exchange> runOnLink(pooled_link &Link,
                                const link_statement &Statement,
-                               const right_check &StillHolds,
+                               const lease_check &StillHolds,
                                base::instant Deadline) {
   exchange NotRun;
   if (Statement.Values) {
@@ -107,7 +107,7 @@
   const std::string Text = co_await textOf(Link, Statement, Deadline);
   if (Text.empty())
     co_return NotRun;
-  if (Statement.Right && !StillHolds(*Statement.Right))
+  if (Statement.PrimaryLease && !StillHolds(*Statement.PrimaryLease))
     co_return NotRun;
   co_return co_await Link.Link->run(Statement.Id, Text, Statement.After,
                                     Deadline);
--- a/packages/session/src/link_setup.hpp
+++ b/packages/session/src/link_setup.hpp
@@ -16,7 +16,7 @@
                              base::instant Deadline);
 
 /// Whether a right has held ever since it was given.
-using right_check = std::function<bool(const primary_right &)>;
+using lease_check = std::function<bool(const primary_lease &)>;
 
 /// Sets up \p Link as \p Statement needs it and runs the statement there.
 /// Outcome NotSent: nothing of the caller's has run, since the setting up
@@ -24,7 +24,7 @@
 /// connection of this instance.
 base::task<exchange> runOnLink(pooled_link &Link,
                                const link_statement &Statement,
-                               const right_check &StillHolds,
+                               const lease_check &StillHolds,
                                base::instant Deadline);
 
 } // namespace redwinggw::session
--- a/packages/session/src/placement.cpp
+++ b/packages/session/src/placement.cpp
@@ -122,11 +122,11 @@
 std::vector<choice_candidate>
 candidatesFor(session_core &Core, const caller_session &Session,
               const request &Request, bool NeedsPrimary,
-              const std::optional<primary_right> &Right,
+              const std::optional<primary_lease> &PrimaryLease,
               const std::optional<required_point> &Point, instant Now) {
   auto Candidates =
       readCandidates(Core.Set, Request.Route.Service, Session.Customer,
-                     Right ? &*Right : nullptr, Point, Now);
+                     PrimaryLease ? &*PrimaryLease : nullptr, Point, Now);
   if (NeedsPrimary || !Point)
     std::erase_if(Candidates, [](const choice_candidate &Candidate) {
       return !Candidate.IsPrimary;
@@ -164,7 +164,7 @@
 base::task<std::optional<placement>>
 tryBest(session_core &Core, caller_session &Session, request &Request,
         std::vector<choice_candidate> Candidates,
-        std::optional<primary_right> Right,
+        std::optional<primary_lease> PrimaryLease,
         std::optional<required_point> Point) {
   const choice_candidate Chosen = nextUntried(Candidates, Request);
   Request.Tried.push_back(Chosen.Name);
@@ -173,11 +173,11 @@
   if (!Placement)
     co_return std::nullopt;
   if (Chosen.IsPrimary)
-    Placement->Right = Right;
+    Placement->PrimaryLease = PrimaryLease;
   else
     Placement->Required = Point;
   Request.OnPrimary = Chosen.IsPrimary;
-  Request.Epoch = Right ? Right->Epoch : 0;
+  Request.Epoch = PrimaryLease ? PrimaryLease->Epoch : 0;
   Request.Required = pointOf(*Placement);
   const bool Repeatable = !Request.Writes && Candidates.size() > 1;
   Placement->TryDeadline = tryDeadline(Core, Request, base::now(), Repeatable);
@@ -213,19 +213,19 @@
                                            bool NeedsPrimary) {
   while (true) {
     const instant Now = base::now();
-    const auto Right = Core.Ports.Right(Request.Route.Service);
+    const auto PrimaryLease = Core.Ports.PrimaryLease(Request.Route.Service);
     const auto Point = NeedsPrimary ? std::optional<required_point>()
                                     : pointFor(Core, Session, Request, Now);
-    auto Candidates =
-        candidatesFor(Core, Session, Request, NeedsPrimary, Right, Point, Now);
+    auto Candidates = candidatesFor(Core, Session, Request, NeedsPrimary,
+                                    PrimaryLease, Point, Now);
     if (Candidates.empty()) {
       const bool Again = co_await awaitPrimary(Core, Request);
       if (!Again)
         co_return std::nullopt;
       continue;
     }
-    auto Placement = co_await tryBest(Core, Session, Request,
-                                      std::move(Candidates), Right, Point);
+    auto Placement = co_await tryBest(
+        Core, Session, Request, std::move(Candidates), PrimaryLease, Point);
     if (Placement)
       co_return Placement;
     if (!mayTryAgain(Core, Request))
--- a/packages/session/src/serve_forwarded.cpp
+++ b/packages/session/src/serve_forwarded.cpp
@@ -17,7 +17,8 @@
 }
 
 bool mayUse(const session_core &Core, const link_statement &Statement) {
-  return !Statement.Right || Core.Ports.StillHolds(*Statement.Right);
+  return !Statement.PrimaryLease ||
+         Core.Ports.StillHolds(*Statement.PrimaryLease);
 }
 
 /// Gives the transaction that has the lease a turn for its next statement. One
--- a/packages/session/src/single_statement.cpp
+++ b/packages/session/src/single_statement.cpp
@@ -84,7 +84,7 @@
     return finalAnswer(Core, Request, Last);
   }
   // The answer counts only if nobody can have been promoted before it.
-  if (!Placement.Right || Core.Ports.StillHolds(*Placement.Right))
+  if (!Placement.PrimaryLease || Core.Ports.StillHolds(*Placement.PrimaryLease))
     return std::move(Last.Answer);
   Request.LastTrouble = "the primary was replaced meanwhile";
   Last = {};
--- a/packages/session/src/transaction.cpp
+++ b/packages/session/src/transaction.cpp
@@ -25,7 +25,7 @@
   Statement.Action = ReadOnly ? link_action::BeginReadOnly : link_action::Begin;
   Statement.Values = Session.Values;
   Statement.After = pointOf(Placement);
-  Statement.Right = Placement.Right;
+  Statement.PrimaryLease = Placement.PrimaryLease;
   co_return co_await runPlaced(Core, Request, Placement, std::move(Statement));
 }
 
@@ -56,7 +56,7 @@
     if (Opened) {
       Transaction.Pool = Placement->Link.Pool;
       Transaction.Link = std::move(Placement->Link.Link);
-      Transaction.Right = Placement->Right;
+      Transaction.PrimaryLease = Placement->PrimaryLease;
       Transaction.Counted.settle(true);
       co_return true;
     }
@@ -71,11 +71,12 @@
 placement takePlacement(open_transaction &Transaction, request &Request) {
   placement Placement;
   Placement.Link = leased_link(Transaction.Pool, std::move(Transaction.Link));
-  Placement.Right = Transaction.Right;
+  Placement.PrimaryLease = Transaction.PrimaryLease;
   Placement.Begun = true;
   Placement.TryDeadline = Request.Deadline;
-  Request.OnPrimary = Transaction.Right.has_value();
-  Request.Epoch = Transaction.Right ? Transaction.Right->Epoch : 0;
+  Request.OnPrimary = Transaction.PrimaryLease.has_value();
+  Request.Epoch =
+      Transaction.PrimaryLease ? Transaction.PrimaryLease->Epoch : 0;
   Request.Tried.assign(1, Transaction.Pool->entry().Name);
   return Placement;
 }
@@ -107,7 +108,8 @@
 }
 
 bool isLost(session_core &Core, const open_transaction &Transaction) {
-  return Transaction.Right && !Core.Ports.StillHolds(*Transaction.Right);
+  return Transaction.PrimaryLease &&
+         !Core.Ports.StillHolds(*Transaction.PrimaryLease);
 }
 
 } // namespace
@@ -212,12 +214,12 @@
   link_statement Statement;
   Statement.Id = Request.Statement.Id;
   Statement.Text = Request.Statement.Text;
-  Statement.Right = Placement.Right;
+  Statement.PrimaryLease = Placement.PrimaryLease;
   exchange Done =
       co_await runPlaced(Core, Request, Placement, std::move(Statement));
   settle(Core, Session, Request, Placement, Done, false);
   const bool Trusted =
-      !Placement.Right || Core.Ports.StillHolds(*Placement.Right);
+      !Placement.PrimaryLease || Core.Ports.StillHolds(*Placement.PrimaryLease);
   co_return answerToCommit(std::move(Done), Trusted, Wrote);
 }
 
--- a/packages/session/src/try_statement.cpp
+++ b/packages/session/src/try_statement.cpp
@@ -98,7 +98,7 @@
   Statement.Id = Request.Statement.Id;
   Statement.Values = Session.Values;
   Statement.After = pointOf(Placement);
-  Statement.Right = Placement.Right;
+  Statement.PrimaryLease = Placement.PrimaryLease;
   if (Request.Prepared == nullptr) {
     Statement.Text = Request.Statement.Text;
   } else {
@@ -113,7 +113,7 @@
 /// Takes in what a replica's answer tells about its lag.
 void noteLag(replica_lag &Lag, const placement &Placement,
              const exchange &Exchange, instant Now) {
-  if (Placement.Right)
+  if (Placement.PrimaryLease)
     return;
   if (Exchange.Answer.Point)
     noteReached(Lag, *Exchange.Answer.Point);
@@ -137,14 +137,14 @@
   if (Error && Error->Code == answer_code::ReadOnly)
     Core.Ports.NoteTrouble(Pool.entry().Name);
   const auto Point = Exchange.Answer.Point;
-  if (Error || !Point || !Placement.Right ||
-      !Core.Ports.StillHolds(*Placement.Right))
+  if (Error || !Point || !Placement.PrimaryLease ||
+      !Core.Ports.StillHolds(*Placement.PrimaryLease))
     return;
-  notePoint(Core.Set, *Placement.Right, Exchange.SentAt, *Point);
+  notePoint(Core.Set, *Placement.PrimaryLease, Exchange.SentAt, *Point);
   const bool Committed =
       Request.Writes && Exchange.Answer.State == transaction_state::Idle;
   if (Committed) {
-    Session.CommitService = Placement.Right->Service;
+    Session.CommitService = Placement.PrimaryLease->Service;
     Session.LastCommit = Point;
     Session.LastCommitAt = Now;
   }
@@ -157,10 +157,10 @@
                     const exchange &Exchange) {
   if (Placement.Failure != forwarding_failure::None)
     return Placement.Failure == forwarding_failure::EndpointLost;
-  const bool RightLost = Exchange.Outcome == exchange_outcome::NotSent &&
-                         Placement.Right &&
-                         !Core.Ports.StillHolds(*Placement.Right);
-  return !RightLost;
+  const bool LeaseLost = Exchange.Outcome == exchange_outcome::NotSent &&
+                         Placement.PrimaryLease &&
+                         !Core.Ports.StillHolds(*Placement.PrimaryLease);
+  return !LeaseLost;
 }
 
 } // namespace
--- a/tests/session/fake_endpoint.hpp
+++ b/tests/session/fake_endpoint.hpp
@@ -176,9 +176,9 @@
     Core.Ports.Settle = [this](std::string_view, bool Ran) {
       Returned += Ran ? 0 : 1;
     };
-    Core.Ports.Right = [this](std::string_view) { return Right; };
-    Core.Ports.StillHolds = [this](const primary_right &Given) {
-      return Right && *Right == Given;
+    Core.Ports.PrimaryLease = [this](std::string_view) { return PrimaryLease; };
+    Core.Ports.StillHolds = [this](const primary_lease &Given) {
+      return PrimaryLease && *PrimaryLease == Given;
     };
     Core.Ports.PrimaryExpected = [](std::string_view) {
       return std::optional<base::milliseconds>();
@@ -252,7 +252,7 @@
   endpoint_set Set;
   session_core Core;
   route_table_ptr Routes;
-  std::optional<primary_right> Right = primary_right{"s", "p", 1};
+  std::optional<primary_lease> PrimaryLease = primary_lease{"s", "p", 1};
   bool Admitted = true;
   /// Operations whose part of the rate was given back.
   unsigned Returned = 0;
--- a/tests/session/forwarding_codec_test.cpp
+++ b/tests/session/forwarding_codec_test.cpp
@@ -24,7 +24,7 @@
   Request.Statement.Prepared = "WRITE q2c";
   Request.Statement.Arguments = "1a4 xkq";
   Request.Statement.After = log_point{3, 70'000};
-  Request.Statement.Right = primary_right{"s", "i-1", 12};
+  Request.Statement.PrimaryLease = primary_lease{"s", "i-1", 12};
   Request.TimeLeft = base::milliseconds(480);
   Request.Patience = base::milliseconds(30);
   return Request;
@@ -54,7 +54,7 @@
   cr_assert(Statement.Prepared == "WRITE q2c");
   cr_assert(Statement.Arguments == "1a4 xkq");
   cr_assert(Statement.After == log_point({3, 70'000}));
-  cr_assert(Statement.Right == primary_right({"s", "i-1", 12}));
+  cr_assert(Statement.PrimaryLease == primary_lease({"s", "i-1", 12}));
   cr_assert(Read->TimeLeft == base::milliseconds(480));
   cr_assert(Read->Patience == base::milliseconds(30));
 }
--- a/tests/session/forwarding_test.cpp
+++ b/tests/session/forwarding_test.cpp
@@ -200,7 +200,7 @@
 Test(forwarding, does_not_send_to_a_primary_that_the_owner_knows_replaced) {
   forwarding_fleet Fleet;
   bench_core &Instance = Fleet.first();
-  Fleet.Owner.Right = primary_right{"s", "r1", 2};
+  Fleet.Owner.PrimaryLease = primary_lease{"s", "r1", 2};
   caller_session Session = Instance.open("strict");
   Instance.write(Session);
   for (const seen_statement &Statement : Fleet.Group.callersOwn())
@@ -214,7 +214,7 @@
   forwarding_fleet Fleet;
   bench_core &Instance = Fleet.first();
   Fleet.Group.Script = [&](const seen_statement &) -> std::optional<exchange> {
-    Instance.Right = primary_right{"s", "r1", 2};
+    Instance.PrimaryLease = primary_lease{"s", "r1", 2};
     return std::nullopt;
   };
   caller_session Session = Instance.open("strict");
@@ -293,14 +293,14 @@
 }
 
 // Guards against avoiding an endpoint for what its owner learned meanwhile.
-Test(forwarding, does_not_blame_an_endpoint_for_a_right_that_the_owner_lost) {
+Test(forwarding, does_not_blame_an_endpoint_for_a_lease_that_the_owner_lost) {
   forwarding_fleet Fleet;
   bench_core &Instance = Fleet.first();
   caller_session Session = Instance.open("strict");
   Instance.run(Session, statement_kind::Set, "SET a 1", "a", "1");
   Fleet.Group.Script = [&](const seen_statement &) -> std::optional<exchange> {
-    Fleet.Owner.Right.reset();
-    Instance.Right.reset();
+    Fleet.Owner.PrimaryLease.reset();
+    Instance.PrimaryLease.reset();
     return std::nullopt;
   };
   cr_assert(failedWith(Instance.write(Session), answer_code::Busy));
--- a/tests/session/handover_test.cpp
+++ b/tests/session/handover_test.cpp
@@ -92,7 +92,7 @@
 // An instance is cut off, with callers that write to the old primary. Nobody
 // may be promoted before that instance's right is over; and never on the word
 // of less than half: the others may still hear a majority among themselves.
-Test(handover, waits_out_the_right_of_silent_instances) {
+Test(handover, waits_out_the_lease_of_silent_instances) {
   const auto Over = Start + Limits.ReadingCounts + milliseconds(1);
   cr_assert(mayPromote({Start, true, Start}, Limits, Start));
   cr_assert(!mayPromote({Start, false, Start}, Limits, Start));
--- a/tests/session/session_core_test.cpp
+++ b/tests/session/session_core_test.cpp
@@ -176,7 +176,7 @@
   bench_core Bench;
   caller_session Session = Bench.open("strict");
   Bench.Group.Script = [&](const seen_statement &) -> std::optional<exchange> {
-    Bench.Right = primary_right{"s", "r1", 2};
+    Bench.PrimaryLease = primary_lease{"s", "r1", 2};
     return std::nullopt;
   };
   cr_assert(failedWith(Bench.write(Session), answer_code::InDoubt));
@@ -300,12 +300,12 @@
 }
 
 // Guards against avoiding an endpoint because its primary was given up.
-Test(session_core, does_not_blame_an_endpoint_for_a_lost_right) {
+Test(session_core, does_not_blame_an_endpoint_for_a_lost_lease) {
   bench_core Bench;
   caller_session Session = Bench.open("strict");
   Bench.run(Session, statement_kind::Set, "SET a 1", "a", "1");
   Bench.Group.Script = [&](const seen_statement &) -> std::optional<exchange> {
-    Bench.Right.reset();
+    Bench.PrimaryLease.reset();
     return std::nullopt;
   };
   cr_assert(failedWith(Bench.write(Session), answer_code::Busy));
