--- a/packages/session/include/redwinggw/session/endpoint_pool.hpp
+++ b/packages/session/include/redwinggw/session/endpoint_pool.hpp
@@ -100,10 +100,10 @@
   /// Waits until \p Until for a turn on the endpoint's slots. False when there
   /// is none in time; that is known at once where it can be. leave() has to
   /// follow with the same \p Level and \p Customer.
-  base::task<bool> enter(slot_level Level, base::customer_name Customer,
-                         base::instant Until);
-  void leave(slot_level Level, std::string_view Customer,
-             base::microseconds Busy);
+  base::task<bool> acquireSlot(slot_level Level, base::customer_name Customer,
+                               base::instant Until);
+  void releaseSlot(slot_level Level, std::string_view Customer,
+                   base::microseconds Busy);
 
   /// A connection of \p Customer, preferably one that carries \p Values;
   /// waits for one until \p WaitUntil when all are in use. Setting one up may
@@ -166,7 +166,7 @@
   std::size_t idle() const { return Idle.size(); }
   /// Statements that have a turn on the slots.
   std::size_t running() const { return Slots.Running; }
-  std::size_t waiting() const { return Queue.Size + waitingIn(Slots); }
+  std::size_t waiting() const { return Queue.Size + queuedIn(Slots); }
   bool hasIdle(std::string_view Customer) const;
   /// All connections are open and in use.
   bool isExhausted() const { return Idle.empty() && !mayOpen(); }
@@ -180,11 +180,11 @@
   void wakeNext();
   base::task<acquired> connect(base::customer_name Customer,
                                base::instant Deadline);
-  base::task<bool> waitForTurn(const base::customer_name &Customer,
-                               base::instant Deadline);
+  base::task<bool> waitForConnection(const base::customer_name &Customer,
+                                     base::instant Deadline);
 
   bool isStalled(base::instant Now) const;
-  void startWaiting();
+  void startQueued();
 
   boost::asio::any_io_executor Executor;
   deadline_watch &Watch;
--- a/packages/session/include/redwinggw/session/leased_link.hpp
+++ b/packages/session/include/redwinggw/session/leased_link.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "redwinggw/session/slot_pass.hpp"
+#include "redwinggw/session/slot_grant.hpp"
 
 #include <utility>
 
@@ -16,7 +16,7 @@
   leased_link &operator=(leased_link &&Other) noexcept {
     std::swap(Pool, Other.Pool);
     std::swap(Link, Other.Link);
-    std::swap(Pass, Other.Pass);
+    std::swap(Grant, Other.Grant);
     return *this;
   }
   ~leased_link() {
@@ -31,7 +31,7 @@
   link_handle Link;
   /// Held while a statement runs; a transaction gives it up between its
   /// statements.
-  slot_pass Pass;
+  slot_grant Grant;
 };
 
 } // namespace redwinggw::session
--- a/packages/session/include/redwinggw/session/slot_pass.hpp
+++ b/packages/session/include/redwinggw/session/slot_grant.hpp
@@ -8,23 +8,23 @@
 namespace redwinggw::session {
 
 /// A turn on an endpoint's slots, given up at the end of its life.
-class slot_pass {
+class slot_grant {
 public:
-  slot_pass() = default;
-  slot_pass(pool_ptr Pool, slot_level Level, base::customer_name Customer)
+  slot_grant() = default;
+  slot_grant(pool_ptr Pool, slot_level Level, base::customer_name Customer)
       : Pool(std::move(Pool)), Level(Level), Customer(std::move(Customer)),
         Since(base::now()) {}
-  slot_pass(slot_pass &&) noexcept = default;
-  slot_pass &operator=(slot_pass &&Other) noexcept {
+  slot_grant(slot_grant &&) noexcept = default;
+  slot_grant &operator=(slot_grant &&Other) noexcept {
     std::swap(Pool, Other.Pool);
     std::swap(Level, Other.Level);
     std::swap(Customer, Other.Customer);
     std::swap(Since, Other.Since);
     return *this;
   }
-  ~slot_pass() {
+  ~slot_grant() {
     if (Pool)
-      Pool->leave(Level, Customer, base::now() - Since);
+      Pool->releaseSlot(Level, Customer, base::now() - Since);
   }
   explicit operator bool() const { return Pool != nullptr; }
 
@@ -37,8 +37,8 @@
 
 /// Waits until \p Until for a turn on the slots of \p Pool's endpoint. Empty
 /// when there is none in time.
-base::task<slot_pass> takeTurn(pool_ptr Pool, slot_level Level,
-                               base::customer_name Customer,
-                               base::instant Until);
+base::task<slot_grant> acquireSlot(pool_ptr Pool, slot_level Level,
+                                   base::customer_name Customer,
+                                   base::instant Until);
 
 } // namespace redwinggw::session
--- a/packages/session/include/redwinggw/session/slot_queue.hpp
+++ b/packages/session/include/redwinggw/session/slot_queue.hpp
@@ -20,7 +20,7 @@
 /// Statements of open transactions go first: they hold a connection and locks,
 /// and refused they would make all of their transaction's work useless. New
 /// work follows by the priority of its route.
-enum class slot_level : std::uint8_t { Begun, Urgent, Normal, Low };
+enum class slot_level : std::uint8_t { InTransaction, Urgent, Normal, Low };
 constexpr std::size_t SlotLevels = 4;
 
 /// The level of new work on a route of \p Priority; 0 is the highest.
@@ -29,20 +29,20 @@
 /// Not thread safe.
 struct slot_queue {
   /// Statements that run at once; 0: not bounded here.
-  unsigned Width = 0;
+  unsigned MaxRunning = 0;
   unsigned Running = 0;
   std::array<data::fair_queue, SlotLevels> Levels;
   /// Smoothed time of a statement, whoever asked for it.
-  base::microseconds Cost{0};
+  base::microseconds MeanBusy{0};
   /// Turns since the lowest level that waits had one.
-  unsigned SinceLowest = 0;
+  unsigned StartsSinceLowest = 0;
 };
 
 /// Statements that wait.
-std::size_t waitingIn(const slot_queue &Queue);
+std::size_t queuedIn(const slot_queue &Queue);
 
 /// Takes a slot if one is free and nobody waits for it.
-bool startNow(slot_queue &Queue);
+bool tryStart(slot_queue &Queue);
 
 /// Adds a statement that waits, or refuses it at once when its turn would come
 /// after its deadline.
--- a/packages/session/src/core_parts.hpp
+++ b/packages/session/src/core_parts.hpp
@@ -44,7 +44,7 @@
   /// The point that the endpoint must have.
   std::optional<required_point> Required;
   /// It belongs to a transaction that has begun on this connection.
-  bool Begun = false;
+  bool InTransaction = false;
   /// Its answer is waited for until then.
   base::instant TryDeadline;
   /// Why the endpoint's owner did not run the statement.
--- a/packages/session/src/endpoint_pool.cpp
+++ b/packages/session/src/endpoint_pool.cpp
@@ -55,7 +55,7 @@
 
 void endpoint_pool::setEntry(endpoint_entry NewEntry) {
   Entry = std::move(NewEntry);
-  Slots.Width = Entry.Slots == 0 ? 0 : Entry.Slots + SentAhead;
+  Slots.MaxRunning = Entry.Slots == 0 ? 0 : Entry.Slots + SentAhead;
 }
 
 /// Whether everything that runs there has been without an answer for long: a
@@ -68,10 +68,10 @@
   return Now - Oldest > Longest && Now - Health.LastSuccess > Longest;
 }
 
-base::task<bool> endpoint_pool::enter(slot_level Level,
-                                      base::customer_name Customer,
-                                      instant Until) {
-  if (startNow(Slots))
+base::task<bool> endpoint_pool::acquireSlot(slot_level Level,
+                                            base::customer_name Customer,
+                                            instant Until) {
+  if (tryStart(Slots))
     co_return true;
   const instant Now = base::now();
   if (isStalled(Now))
@@ -85,13 +85,13 @@
   co_return Started;
 }
 
-void endpoint_pool::leave(slot_level Level, std::string_view Customer,
-                          base::microseconds Busy) {
+void endpoint_pool::releaseSlot(slot_level Level, std::string_view Customer,
+                                base::microseconds Busy) {
   finish(Slots, Level, Customer, Busy);
-  startWaiting();
+  startQueued();
 }
 
-void endpoint_pool::startWaiting() {
+void endpoint_pool::startQueued() {
   while (const auto Ticket = startNext(Slots)) {
     if (Waiters.wake(Ticket->Id))
       continue;
@@ -195,13 +195,14 @@
     const bool Fits = Open < Limits.Connections && mayOpen();
     if (Fits || evictOne() || mayOpen())
       co_return co_await connect(std::move(Customer), Deadline);
-    if (!co_await waitForTurn(Customer, WaitUntil))
+    if (!co_await waitForConnection(Customer, WaitUntil))
       co_return acquired{nullptr, acquire_failure::Exhausted};
   }
 }
 
-base::task<bool> endpoint_pool::waitForTurn(const base::customer_name &Customer,
-                                            instant Deadline) {
+base::task<bool>
+endpoint_pool::waitForConnection(const base::customer_name &Customer,
+                                 instant Deadline) {
   const data::queue_ticket Ticket{Waiters.nextNumber(), Customer, Deadline};
   const std::size_t Width = std::max<std::size_t>(1, Limits.Connections);
   if (!enqueue(Queue, Ticket, Width, base::now()).Queued)
--- a/packages/session/src/placement.cpp
+++ b/packages/session/src/placement.cpp
@@ -96,9 +96,10 @@
         Pool, Pool->wrapForwarding(std::move(Forwarding), Session.Customer));
     co_return Placement;
   }
-  slot_pass Pass = co_await takeTurn(Pool, levelOf(Request.Route.Priority),
-                                     Session.Customer, queueEnd(Core, Request));
-  if (!Pass) {
+  slot_grant Grant =
+      co_await acquireSlot(Pool, levelOf(Request.Route.Priority),
+                           Session.Customer, queueEnd(Core, Request));
+  if (!Grant) {
     Request.LastTrouble = "no turn at " + Name + " in time, " +
                           std::to_string(Pool->waiting()) + " waiting";
     co_return std::nullopt;
@@ -114,7 +115,7 @@
     co_return std::nullopt;
   }
   Placement.Link = leased_link(Pool, std::move(Acquired.Link));
-  Placement.Link.Pass = std::move(Pass);
+  Placement.Link.Grant = std::move(Grant);
   co_return Placement;
 }
 
--- a/packages/session/src/serve_forwarded.cpp
+++ b/packages/session/src/serve_forwarded.cpp
@@ -32,11 +32,11 @@
   if (Same && Request.Statement.Action == link_action::Rollback)
     co_return forwarding_failure::None;
   if (Same) {
-    slot_pass Pass =
-        co_await takeTurn(Pinned.Link.Pool, slot_level::Begun, Request.Customer,
-                          Arrived + Request.TimeLeft);
-    if (Pass) {
-      Pinned.Link.Pass = std::move(Pass);
+    slot_grant Grant =
+        co_await acquireSlot(Pinned.Link.Pool, slot_level::InTransaction,
+                             Request.Customer, Arrived + Request.TimeLeft);
+    if (Grant) {
+      Pinned.Link.Grant = std::move(Grant);
       co_return forwarding_failure::None;
     }
   }
@@ -59,16 +59,16 @@
   const session_values Values =
       Request.Statement.Values.value_or(session_values());
   const instant WaitUntil = Arrived + Request.Patience;
-  slot_pass Pass = co_await takeTurn(Pool, levelOf(Request.Priority),
-                                     Request.Customer, WaitUntil);
-  if (!Pass)
+  slot_grant Grant = co_await acquireSlot(Pool, levelOf(Request.Priority),
+                                          Request.Customer, WaitUntil);
+  if (!Grant)
     co_return forwarding_failure::NoConnection;
   acquired Acquired = co_await Pool->acquire(
       Request.Customer, Values, WaitUntil, Arrived + Request.TimeLeft);
   if (!Acquired.Link)
     co_return failureOf(Acquired.Failure);
   Pinned.Link = leased_link(Pool, std::move(Acquired.Link));
-  Pinned.Link.Pass = std::move(Pass);
+  Pinned.Link.Grant = std::move(Grant);
   co_return forwarding_failure::None;
 }
 
@@ -115,7 +115,7 @@
                            Core.Ports.StillHolds, Arrived + Request.TimeLeft);
     Pool->noteEnded(Sent);
     Reply.Ran = std::chrono::ceil<base::milliseconds>(base::now() - Sent);
-    Pinned.Link.Pass = slot_pass();
+    Pinned.Link.Grant = slot_grant();
     if (!mayUse(Core, Request.Statement) &&
         Reply.Exchange.Outcome == exchange_outcome::NotSent)
       Reply.Failure = forwarding_failure::Refused;
--- a/packages/session/src/slot_queue.cpp
+++ b/packages/session/src/slot_queue.cpp
@@ -8,7 +8,7 @@
 
 /// One turn in so many goes to the lowest level that waits, so that a flood of
 /// urgent work cannot shut the rest out.
-constexpr unsigned LowestTurn = 8;
+constexpr unsigned LowestLevelInterval = 8;
 
 data::fair_queue &queueAt(slot_queue &Queue, slot_level Level) {
   return Queue.Levels.at(static_cast<std::size_t>(Level));
@@ -16,12 +16,12 @@
 
 bool isWaiting(const data::fair_queue &Queue) { return Queue.Size != 0; }
 
-/// Weight of the newest statement in the smoothed time is 1/CostWeight.
-constexpr int CostWeight = 8;
+/// Weight of the newest statement in the smoothed time is 1/BusyWeight.
+constexpr int BusyWeight = 8;
 
 /// Time until one of the running statements has ended.
 base::microseconds waitForRunning(const slot_queue &Queue) {
-  return Queue.Cost / std::max(1U, Queue.Width);
+  return Queue.MeanBusy / std::max(1U, Queue.MaxRunning);
 }
 
 /// Time until the levels before \p Level have had their turns.
@@ -30,7 +30,7 @@
   return std::accumulate(
       Queue.Levels.begin(), End, base::microseconds(0),
       [&](base::microseconds Sum, const data::fair_queue &Earlier) {
-        return Sum + data::queuedWork(Earlier) / std::max(1U, Queue.Width);
+        return Sum + data::queuedWork(Earlier) / std::max(1U, Queue.MaxRunning);
       });
 }
 
@@ -40,10 +40,10 @@
   const auto Lowest = std::ranges::find_if(Queue.Levels.rbegin(),
                                            Queue.Levels.rend(), isWaiting);
   const bool Alone = &*Highest == &*Lowest;
-  Queue.SinceLowest = Alone ? 0 : Queue.SinceLowest + 1;
-  if (Queue.SinceLowest < LowestTurn)
+  Queue.StartsSinceLowest = Alone ? 0 : Queue.StartsSinceLowest + 1;
+  if (Queue.StartsSinceLowest < LowestLevelInterval)
     return *Highest;
-  Queue.SinceLowest = 0;
+  Queue.StartsSinceLowest = 0;
   return *Lowest;
 }
 
@@ -55,7 +55,7 @@
   return static_cast<slot_level>(std::min(First + Priority, Last));
 }
 
-std::size_t waitingIn(const slot_queue &Queue) {
+std::size_t queuedIn(const slot_queue &Queue) {
   return std::accumulate(Queue.Levels.begin(), Queue.Levels.end(),
                          std::size_t{0},
                          [](std::size_t Sum, const data::fair_queue &Level) {
@@ -63,9 +63,9 @@
                          });
 }
 
-bool startNow(slot_queue &Queue) {
-  const bool Free = Queue.Width == 0 || Queue.Running < Queue.Width;
-  if (!Free || waitingIn(Queue) != 0)
+bool tryStart(slot_queue &Queue) {
+  const bool Free = Queue.MaxRunning == 0 || Queue.Running < Queue.MaxRunning;
+  if (!Free || queuedIn(Queue) != 0)
     return false;
   ++Queue.Running;
   return true;
@@ -75,13 +75,13 @@
                              data::queue_ticket Ticket, base::instant Now) {
   const base::microseconds Earlier =
       waitForRunning(Queue) + waitForEarlier(Queue, Level);
-  return enqueue(queueAt(Queue, Level), std::move(Ticket), Queue.Width,
+  return enqueue(queueAt(Queue, Level), std::move(Ticket), Queue.MaxRunning,
                  Now + Earlier);
 }
 
 std::optional<data::queue_ticket> startNext(slot_queue &Queue) {
-  const bool Free = Queue.Width == 0 || Queue.Running < Queue.Width;
-  if (!Free || waitingIn(Queue) == 0)
+  const bool Free = Queue.MaxRunning == 0 || Queue.Running < Queue.MaxRunning;
+  if (!Free || queuedIn(Queue) == 0)
     return std::nullopt;
   ++Queue.Running;
   return dequeue(nextLevel(Queue));
@@ -95,7 +95,7 @@
 void finish(slot_queue &Queue, slot_level Level, std::string_view Customer,
             base::microseconds Busy) {
   --Queue.Running;
-  Queue.Cost += (Busy - Queue.Cost) / CostWeight;
+  Queue.MeanBusy += (Busy - Queue.MeanBusy) / BusyWeight;
   charge(queueAt(Queue, Level), Customer, Busy);
 }
 
--- a/packages/session/src/transaction.cpp
+++ b/packages/session/src/transaction.cpp
@@ -72,7 +72,7 @@
   placement Placement;
   Placement.Link = leased_link(Transaction.Pool, std::move(Transaction.Link));
   Placement.PrimaryLease = Transaction.PrimaryLease;
-  Placement.Begun = true;
+  Placement.InTransaction = true;
   Placement.TryDeadline = Request.Deadline;
   Request.OnPrimary = Transaction.PrimaryLease.has_value();
   Request.Epoch =
--- a/packages/session/src/try_statement.cpp
+++ b/packages/session/src/try_statement.cpp
@@ -42,7 +42,7 @@
   endpoint_pool &Pool = *Placement.Link.Pool;
   Request.Via = Forwarding.owner();
   const instant WaitUntil =
-      Placement.Begun ? Placement.TryDeadline : queueEnd(Core, Request);
+      Placement.InTransaction ? Placement.TryDeadline : queueEnd(Core, Request);
   forwarding_reply Reply =
       co_await Forwarding.run(Statement, WaitUntil, Placement.TryDeadline);
   Placement.Failure = Reply.Failure;
@@ -62,10 +62,11 @@
                              const link_statement &Statement) {
   Request.Via.clear();
   leased_link &Link = Placement.Link;
-  if (!Link.Pass)
-    Link.Pass = co_await takeTurn(Link.Pool, slot_level::Begun,
-                                  Link.Link->Customer, Placement.TryDeadline);
-  if (!Link.Pass) {
+  if (!Link.Grant)
+    Link.Grant =
+        co_await acquireSlot(Link.Pool, slot_level::InTransaction,
+                             Link.Link->Customer, Placement.TryDeadline);
+  if (!Link.Grant) {
     Placement.Failure = forwarding_failure::NoConnection;
     co_return exchange();
   }
--- a/tests/session/forwarding_test.cpp
+++ b/tests/session/forwarding_test.cpp
@@ -50,18 +50,18 @@
   bench_core &first() { return Instances.front(); }
 
   /// Takes a turn on the slots. Precondition: one is free.
-  slot_pass take(const pool_ptr &Pool) {
-    slot_pass Pass;
+  slot_grant take(const pool_ptr &Pool) {
+    slot_grant Grant;
     boost::asio::co_spawn(
         Context,
-        [](pool_ptr Pool, slot_pass &Pass) -> base::task<void> {
-          Pass = co_await takeTurn(Pool, slot_level::Normal, "acme",
-                                   base::now() + base::milliseconds(50));
-        }(Pool, Pass),
+        [](pool_ptr Pool, slot_grant &Grant) -> base::task<void> {
+          Grant = co_await acquireSlot(Pool, slot_level::Normal, "acme",
+                                       base::now() + base::milliseconds(50));
+        }(Pool, Grant),
         boost::asio::detached);
-    while (!Pass)
+    while (!Grant)
       Context.run_one();
-    return Pass;
+    return Grant;
   }
 
   boost::asio::io_context Context;
@@ -257,7 +257,7 @@
 // A transaction's statement finds no turn at the owner in its time. Its caller
 // is told that the transaction is aborted. The owner still held its connection
 // for that way, and ran the next statement on it, of another customer.
-Test(forwarding, ends_a_transaction_that_finds_no_turn) {
+Test(forwarding, ends_a_transaction_that_gets_no_slot) {
   forwarding_fleet Fleet;
   bench_core &Instance = Fleet.first();
   caller_session Session = Instance.open("strict");
@@ -266,7 +266,7 @@
   const std::size_t Former = Fleet.Group.Seen.back().Connection;
   const pool_ptr Pool = Fleet.Owner.Set.Pools.at("p");
   constexpr unsigned AllSlots = 6;
-  std::vector<slot_pass> Taken;
+  std::vector<slot_grant> Taken;
   Taken.reserve(AllSlots);
   for (unsigned Slot = 0; Slot < AllSlots; ++Slot)
     Taken.push_back(Fleet.take(Pool));
--- a/tests/session/slot_queue_test.cpp
+++ b/tests/session/slot_queue_test.cpp
@@ -32,20 +32,20 @@
 }
 
 /// How many statements of "flood" at \p Level end before \p Id starts.
-unsigned turnsUntil(slot_queue &Queue, std::uint64_t Id, slot_level Level) {
-  unsigned Turns = 0;
+unsigned startsUntil(slot_queue &Queue, std::uint64_t Id, slot_level Level) {
+  unsigned Starts = 0;
   std::uint64_t Started = 0;
-  for (; Started != Id; ++Turns) {
+  for (; Started != Id; ++Starts) {
     finish(Queue, Level, "flood", milliseconds(5));
     Started = next(Queue);
   }
-  return Turns;
+  return Starts;
 }
 
-slot_queue busyQueue(unsigned Width) {
+slot_queue busyQueue(unsigned MaxRunning) {
   slot_queue Queue;
-  Queue.Width = Width;
-  Queue.Running = Width;
+  Queue.MaxRunning = MaxRunning;
+  Queue.Running = MaxRunning;
   return Queue;
 }
 
@@ -99,7 +99,7 @@
 played play(const std::vector<arrival> &Arrivals, unsigned Slots,
             double QueueShare) {
   slot_queue Queue;
-  Queue.Width = Slots;
+  Queue.MaxRunning = Slots;
   played Result;
   std::priority_queue<running, std::vector<running>, std::greater<>> Running;
   const auto Run = [&](std::size_t Index, instant Now) {
@@ -126,7 +126,7 @@
   for (std::size_t Index = 0; Index < Arrivals.size(); ++Index) {
     const arrival &Arrival = Arrivals[Index];
     FinishUntil(Arrival.At);
-    if (startNow(Queue)) {
+    if (tryStart(Queue)) {
       Run(Index, Arrival.At);
       continue;
     }
@@ -146,31 +146,31 @@
 
 Test(slot_queue, starts_what_fits_at_once) {
   slot_queue Queue;
-  Queue.Width = 2;
-  cr_assert(startNow(Queue));
-  cr_assert(startNow(Queue));
-  cr_assert(!startNow(Queue));
+  Queue.MaxRunning = 2;
+  cr_assert(tryStart(Queue));
+  cr_assert(tryStart(Queue));
+  cr_assert(!tryStart(Queue));
   finish(Queue, slot_level::Normal, "acme", milliseconds(5));
-  cr_assert(startNow(Queue));
+  cr_assert(tryStart(Queue));
 }
 
-Test(slot_queue, lets_nobody_pass_those_who_wait) {
+Test(slot_queue, starts_nothing_new_before_queued_statements) {
   slot_queue Queue = busyQueue(1);
   cr_assert(add(Queue, slot_level::Normal, 1));
   finish(Queue, slot_level::Normal, "acme", milliseconds(5));
-  cr_assert(!startNow(Queue));
+  cr_assert(!tryStart(Queue));
   cr_assert(next(Queue) == 1);
 }
 
 // A transaction holds a connection and locks; its next statement must not wait
 // behind new work of others.
-Test(slot_queue, serves_begun_transactions_first) {
+Test(slot_queue, serves_open_transactions_first) {
   slot_queue Queue = busyQueue(1);
   add(Queue, levelOf(1), 1);
   add(Queue, levelOf(0), 2);
-  add(Queue, slot_level::Begun, 3);
+  add(Queue, slot_level::InTransaction, 3);
   std::vector<std::uint64_t> Order;
-  for (int Turn = 0; Turn < 3; ++Turn) {
+  for (int Round = 0; Round < 3; ++Round) {
     finish(Queue, slot_level::Normal, "acme", milliseconds(5));
     Order.push_back(next(Queue));
   }
@@ -179,13 +179,13 @@
 
 // One customer sends hundreds of urgent statements. What others declared as
 // less urgent still moves.
-Test(slot_queue, gives_the_lowest_level_a_turn_now_and_then) {
+Test(slot_queue, starts_the_lowest_level_at_intervals) {
   slot_queue Queue = busyQueue(1);
   for (std::uint64_t Id = 0; Id < 100; ++Id)
     add(Queue, levelOf(0), Id, "flood");
   add(Queue, levelOf(3), 1000, "calm");
-  const unsigned Turns = turnsUntil(Queue, 1000, slot_level::Normal);
-  cr_assert(Turns <= 10, "%u turns", Turns);
+  const unsigned Starts = startsUntil(Queue, 1000, slot_level::Normal);
+  cr_assert(Starts <= 10, "%u turns", Starts);
 }
 
 Test(slot_queue, shares_a_level_between_customers) {
@@ -193,8 +193,8 @@
   for (std::uint64_t Id = 0; Id < 100; ++Id)
     add(Queue, slot_level::Low, Id, "flood");
   add(Queue, slot_level::Low, 1000, "calm");
-  const unsigned Turns = turnsUntil(Queue, 1000, slot_level::Low);
-  cr_assert(Turns < 10, "%u turns", Turns);
+  const unsigned Starts = startsUntil(Queue, 1000, slot_level::Low);
+  cr_assert(Starts < 10, "%u turns", Starts);
 }
 
 Test(slot_queue, forgets_who_has_given_up) {
@@ -202,7 +202,7 @@
   add(Queue, slot_level::Low, 1);
   add(Queue, slot_level::Low, 2);
   cancel(Queue, slot_level::Low, {1, "acme", Never});
-  cr_assert(waitingIn(Queue) == 1);
+  cr_assert(queuedIn(Queue) == 1);
   finish(Queue, slot_level::Low, "acme", milliseconds(2));
   cr_assert(next(Queue) == 2);
 }
@@ -223,8 +223,8 @@
       add(Queue, slot_level::Normal, 12, "acme", Start + milliseconds(400)));
   cr_assert(
       !add(Queue, slot_level::Low, 13, "bolt", Start + milliseconds(100)));
-  cr_assert(
-      add(Queue, slot_level::Begun, 14, "bolt", Start + milliseconds(100)));
+  cr_assert(add(Queue, slot_level::InTransaction, 14, "bolt",
+                Start + milliseconds(100)));
 }
 
 // Both replicas of a service trail for a while, and its primary is asked for a
