--- a/packages/redwinggw/src/native_endpoints.cpp
+++ b/packages/redwinggw/src/native_endpoints.cpp
@@ -49,7 +49,7 @@
                               digestText(State.List)});
     return;
   }
-  const std::string Text = platform::writeReading(Rows);
+  const std::string Text = platform::encodeRows(Rows);
   if (Text.size() > LongestReading) {
     base::logEvent(log_level::Warning, log_part::Endpoints, "list_not_relayed",
                    {{"bytes", std::to_string(Text.size())},
@@ -64,7 +64,7 @@
 void takeEndpoints(native_state &State,
                    const std::vector<session::endpoint_entry> &Entries,
                    base::instant ReadAt) {
-  const auto Changes = applyList(State.Endpoints, Entries, base::now());
+  const auto Changes = updateEndpoints(State.Endpoints, Entries, base::now());
   State.List = Entries;
   State.ListAt = ReadAt;
   for (const base::endpoint_name &Name : Changes.Started)
@@ -84,7 +84,7 @@
       takeEndpoints(State, std::vector(State.List), base::now());
     return;
   }
-  if (const auto Rows = platform::readReading(Reading.Text))
+  if (const auto Rows = platform::decodeRows(Reading.Text))
     takeEndpoints(State, entriesOf(*Rows), base::now());
 }
 
--- a/packages/redwinggw/src/native_following.cpp
+++ b/packages/redwinggw/src/native_following.cpp
@@ -89,7 +89,7 @@
       static_cast<std::uint64_t>(base::wallMilliseconds()),
       State.Settings.Capacity};
   // An instance that has heard nothing for so long must not use a primary any
-  // more; see handover_limits::ReadingCounts.
+  // more; see handover_limits::ReadingValidFor.
   control::currency_limits Currency;
   Currency.Bound = milliseconds(1000);
   control::membership_limits Members;
--- a/packages/redwinggw/src/native_handover.cpp
+++ b/packages/redwinggw/src/native_handover.cpp
@@ -225,7 +225,7 @@
   std::optional<session::log_point> Needed;
   if (Old)
     Needed = Old->Received;
-  const instant Latest = base::now() + State.Handover.CatchUp;
+  const instant Latest = base::now() + State.Handover.CatchUpTimeout;
   while (true) {
     const auto Candidates = co_await askCandidates(State, Claim);
     const bool Patient = base::now() < Latest;
@@ -320,7 +320,7 @@
   if (Target.empty()) {
     // Nobody else can take over: the old primary goes on if it still leads.
     const auto Old = co_await askOldPrimary(State, Claim);
-    if (!mayGoOn(Old, Move.Resumed)) {
+    if (!mayKeepOldPrimary(Old, Move.Resumed)) {
       say(Claim.Service, "no endpoint can take over.");
       co_return false;
     }
--- a/packages/redwinggw/src/native_instance.cpp
+++ b/packages/redwinggw/src/native_instance.cpp
@@ -194,7 +194,7 @@
                            std::string_view Customer, unsigned Priority) {
     return relayTo(State, Entry, Customer, Priority);
   };
-  Ports.NoteTrouble = [](std::string_view) {};
+  Ports.NoteEndpointProblem = [](std::string_view) {};
   return Ports;
 }
 
--- a/packages/redwinggw/src/native_relay.cpp
+++ b/packages/redwinggw/src/native_relay.cpp
@@ -46,12 +46,12 @@
     constexpr std::size_t Least = 1;
     Limits.Connections = std::max(Least, Accepted * OwnedPercent / Whole);
     Limits.KeptConnections = std::max(Least, Accepted * KeptPercent / Whole);
-    Limits.MostConnections = std::max(Limits.Connections, Accepted);
+    Limits.MaxConnections = std::max(Limits.Connections, Accepted);
     return Limits;
   }
   // Few: only what the owner cannot serve goes over them.
   Limits.Connections = 1;
-  Limits.MostConnections = std::max<std::size_t>(1, 2 * Accepted / Instances);
+  Limits.MaxConnections = std::max<std::size_t>(1, 2 * Accepted / Instances);
   return Limits;
 }
 
--- a/packages/session/include/redwinggw/session/deadline_watch.hpp
+++ b/packages/session/include/redwinggw/session/deadline_watch.hpp
@@ -18,9 +18,10 @@
 public:
   using id = std::uint64_t;
 
-  /// Deadlines are met up to \p Pace late.
-  explicit deadline_watch(boost::asio::any_io_executor Executor,
-                          base::milliseconds Pace = DefaultPace);
+  /// Deadlines are met up to \p TickInterval late.
+  explicit deadline_watch(
+      boost::asio::any_io_executor Executor,
+      base::milliseconds TickInterval = DefaultTickInterval);
   deadline_watch(const deadline_watch &) = delete;
   deadline_watch &operator=(const deadline_watch &) = delete;
   ~deadline_watch();
@@ -31,7 +32,7 @@
 
   /// Well under the tenth of a second in which callers notice a delay, and
   /// coarse enough to cost 0.02% of a core while statements run.
-  static constexpr base::milliseconds DefaultPace{20};
+  static constexpr base::milliseconds DefaultTickInterval{20};
 
 private:
   struct state;
--- a/packages/session/include/redwinggw/session/directory.hpp
+++ b/packages/session/include/redwinggw/session/directory.hpp
@@ -47,11 +47,11 @@
 struct directory_limits {
   /// Entries that lapsed while the list could not be read are back within two
   /// seconds of its return; one that is missing after that is gone.
-  base::milliseconds ReturnTime{2200};
+  base::milliseconds ReregistrationTime{2200};
   /// A leaving endpoint is a last resort for so long after that was seen here.
   /// It must get no new work from seven seconds after it said so; a reading,
   /// its relay and one repetition of both may take three of them.
-  base::milliseconds LeavingUse{3500};
+  base::milliseconds LeavingGrace{3500};
   /// Readings further apart than this mean that the list was not to be had.
   base::milliseconds OutageAfter{2500};
 };
@@ -62,7 +62,7 @@
   std::map<base::endpoint_name, known_endpoint, std::less<>> Endpoints;
   std::optional<base::instant> ReadAt;
   /// When the list could be read again after an outage.
-  std::optional<base::instant> ReturnedAt;
+  std::optional<base::instant> ReadableSince;
 };
 
 /// What a reading of the list changed.
@@ -75,9 +75,9 @@
 };
 
 /// Takes in a whole reading of the list.
-directory_changes onList(directory &Directory,
-                         const std::vector<endpoint_entry> &Entries,
-                         base::instant Now);
+directory_changes updateDirectory(directory &Directory,
+                                  const std::vector<endpoint_entry> &Entries,
+                                  base::instant Now);
 
 /// The endpoints of \p Service, sorted by name.
 std::vector<const endpoint_entry *> endpointsOf(const directory &Directory,
@@ -85,8 +85,8 @@
 
 /// Whether \p Endpoint may get new work. One that was leaving when it was first
 /// seen may have been for long, and gets none.
-bool takesWork(const directory &Directory, const known_endpoint &Endpoint,
-               base::instant Now);
+bool acceptsWork(const directory &Directory, const known_endpoint &Endpoint,
+                 base::instant Now);
 
 const endpoint_entry *findEndpoint(const directory &Directory,
                                    std::string_view Name);
--- a/packages/session/include/redwinggw/session/endpoint_choice.hpp
+++ b/packages/session/include/redwinggw/session/endpoint_choice.hpp
@@ -27,7 +27,7 @@
   unsigned Failures = 0;
   base::instant LastFailure;
   /// It probably has not got what the read needs.
-  bool Trails = false;
+  bool ProbablyLags = false;
 };
 
 struct choice_limits {
@@ -36,13 +36,13 @@
   /// What setting up a connection costs a statement and the endpoint.
   double ConnectMs = 12;
   /// What a round trip to another zone adds, and what its bytes cost.
-  double OtherZoneMs = 3;
+  double CrossZoneMs = 3;
   /// Reads that may go to a replica go to the primary only when that is this
   /// much faster: writes can go nowhere else.
-  double PrimaryMs = 60;
+  double PrimaryPenaltyMs = 60;
   /// The same for a replica that probably trails: a wrong guess costs a round
   /// trip, and the primary is the last to be filled up with reads.
-  double TrailMs = 90;
+  double LaggingPenaltyMs = 90;
   /// Pause after the first failure; doubled by each further one.
   base::milliseconds FailurePause{100};
   base::milliseconds LongestPause{2000};
--- a/packages/session/include/redwinggw/session/endpoint_pool.hpp
+++ b/packages/session/include/redwinggw/session/endpoint_pool.hpp
@@ -72,7 +72,7 @@
   base::milliseconds UnneededIdleTime{1000};
   /// Connections that it may open while statements wait and the endpoint still
   /// accepts some: callers are spread unevenly over instances and customers.
-  std::size_t MostConnections = 8;
+  std::size_t MaxConnections = 8;
   /// A connection above the even part is closed when nobody used it for so
   /// long, and none is tried after the endpoint had no more for that time.
   base::milliseconds SpareIdleTime{250};
--- a/packages/session/include/redwinggw/session/endpoint_set.hpp
+++ b/packages/session/include/redwinggw/session/endpoint_set.hpp
@@ -36,9 +36,9 @@
 
 /// Takes in a reading of the list: pools of endpoints that are gone or were
 /// started again are closed.
-directory_changes applyList(endpoint_set &Set,
-                            const std::vector<endpoint_entry> &Entries,
-                            base::instant Now);
+directory_changes updateEndpoints(endpoint_set &Set,
+                                  const std::vector<endpoint_entry> &Entries,
+                                  base::instant Now);
 
 /// The pool of \p Endpoint, null when it is not listed.
 pool_ptr poolOf(endpoint_set &Set, std::string_view Endpoint);
--- a/packages/session/include/redwinggw/session/handover.hpp
+++ b/packages/session/include/redwinggw/session/handover.hpp
@@ -47,10 +47,10 @@
   /// for as long as its last reading of the store counts, or for as long as
   /// the last heartbeats of a majority count that did not know of the move.
   /// Both with some room for timers.
-  base::milliseconds ReadingCounts{1250};
-  base::milliseconds HeartbeatsCount{1250};
+  base::milliseconds ReadingValidFor{1250};
+  base::milliseconds HeartbeatsValidFor{1250};
   /// A replica is given so long to receive what the old primary had.
-  base::milliseconds CatchUp{1500};
+  base::milliseconds CatchUpTimeout{1500};
 };
 
 /// Whether this instance's own statements and probes speak against the
@@ -109,7 +109,7 @@
 /// \p Resumed: the move was begun by an earlier claim, whose order may take
 /// effect even now. An old primary that went on then would acknowledge writes
 /// beside the new one; it leads in its own eyes until it reaches that one.
-bool mayGoOn(const std::optional<endpoint_status> &Old, bool Resumed);
+bool mayKeepOldPrimary(const std::optional<endpoint_status> &Old, bool Resumed);
 
 /// The name of \p Cause in logs. Thread safe.
 std::string_view moveCauseName(move_cause Cause);
--- a/packages/session/include/redwinggw/session/replica_lag.hpp
+++ b/packages/session/include/redwinggw/session/replica_lag.hpp
@@ -26,12 +26,12 @@
   base::milliseconds LongestPause{1600};
   /// Longest lag that is taken for the usual one; what is longer is a trouble,
   /// and the pauses answer it.
-  base::milliseconds LongestUsual{400};
+  base::milliseconds MaxTypicalLag{400};
   /// Part of the usual lag that is forgotten with each read that was served,
   /// and part of the difference that is learned from one that was refused:
   /// about one guess in fifty is then wrong.
-  double Forget = 0.003;
-  double Learn = 0.5;
+  double DecayRate = 0.003;
+  double LearningRate = 0.5;
 };
 
 /// What is known of one replica. Not thread safe.
@@ -40,10 +40,10 @@
   /// The furthest point that it was seen to have.
   log_point Reached;
   /// Refusals in a row, and the time of the last one.
-  unsigned Misses = 0;
-  base::instant MissedAt;
+  unsigned Refusals = 0;
+  base::instant LastRefusalAt;
   /// Points younger than this are probably not there yet.
-  double UsualMs = 0;
+  double TypicalLagMs = 0;
 };
 
 /// An answer showed that the replica has \p Point.
@@ -53,11 +53,11 @@
 void noteServed(replica_lag &Lag);
 
 /// It refused a read that needed \p Required as trailing.
-void noteTrailing(replica_lag &Lag, const required_point &Required,
-                  base::instant Now);
+void noteLagging(replica_lag &Lag, const required_point &Required,
+                 base::instant Now);
 
 /// Whether it would probably refuse a read that needs \p Required.
-bool probablyTrails(const replica_lag &Lag, const required_point &Required,
-                    base::instant Now);
+bool probablyLags(const replica_lag &Lag, const required_point &Required,
+                  base::instant Now);
 
 } // namespace redwinggw::session
--- a/packages/session/include/redwinggw/session/session_core.hpp
+++ b/packages/session/include/redwinggw/session/session_core.hpp
@@ -50,7 +50,7 @@
       Forward;
   /// A statement met an endpoint that is not the primary any more, or did not
   /// answer.
-  std::function<void(std::string_view Endpoint)> NoteTrouble;
+  std::function<void(std::string_view Endpoint)> NoteEndpointProblem;
 };
 
 /// Limits on work for one statement.
@@ -74,7 +74,7 @@
 /// Bounds the lines about single statements, so that the log costs little
 /// under any load. Failures have a budget of their own: they are what somebody
 /// asks about later.
-struct line_budget {
+struct log_budget {
   /// A second of a full load on one instance has about a hundred statements.
   unsigned ServedPerSecond = 40;
   unsigned FailedPerSecond = 100;
@@ -82,7 +82,7 @@
   unsigned Served = 0;
   unsigned Failed = 0;
   /// Lines left out since the start.
-  std::uint64_t LeftOut = 0;
+  std::uint64_t Suppressed = 0;
 };
 
 /// Used from one thread. \p Set outlives the core.
@@ -94,7 +94,7 @@
   core_limits Limits;
   base::metrics Metrics;
   /// Lines about single statements that may still be written in this second.
-  line_budget Budget;
+  log_budget LogBudget;
   /// The instance leaves: sessions end as soon as they are idle.
   bool Draining = false;
 };
--- a/packages/session/include/redwinggw/session/statement.hpp
+++ b/packages/session/include/redwinggw/session/statement.hpp
@@ -84,7 +84,7 @@
 std::string_view answerCodeName(answer_code Code);
 
 /// Whether \p Code promises that nothing of the attempt is kept.
-constexpr bool isPromise(answer_code Code) {
+constexpr bool isSafeToRetry(answer_code Code) {
   return Code <= answer_code::TooMany;
 }
 
--- a/packages/session/src/answer_record.cpp
+++ b/packages/session/src/answer_record.cpp
@@ -11,29 +11,29 @@
 using base::metric;
 
 /// Whether a line about a statement may still be written in this second.
-bool mayLog(line_budget &Budget, bool Failed, base::instant Now) {
+bool mayLog(log_budget &LogBudget, bool Failed, base::instant Now) {
   const auto Second =
       std::chrono::floor<std::chrono::seconds>(Now.time_since_epoch()).count();
-  if (Second != Budget.Second) {
-    Budget.Second = Second;
-    Budget.Served = 0;
-    Budget.Failed = 0;
+  if (Second != LogBudget.Second) {
+    LogBudget.Second = Second;
+    LogBudget.Served = 0;
+    LogBudget.Failed = 0;
   }
-  unsigned &Used = Failed ? Budget.Failed : Budget.Served;
+  unsigned &Used = Failed ? LogBudget.Failed : LogBudget.Served;
   const unsigned Most =
-      Failed ? Budget.FailedPerSecond : Budget.ServedPerSecond;
+      Failed ? LogBudget.FailedPerSecond : LogBudget.ServedPerSecond;
   if (Used < Most) {
     ++Used;
     return true;
   }
-  ++Budget.LeftOut;
+  ++LogBudget.Suppressed;
   return false;
 }
 
 std::string_view outcomeOf(const answer &Answer) {
   if (!Answer.Error)
     return base::outcomeName(base::outcome::Done);
-  return base::outcomeName(isPromise(Answer.Error->Code)
+  return base::outcomeName(isSafeToRetry(Answer.Error->Code)
                                ? base::outcome::NotRun
                                : base::outcome::Unknown);
 }
@@ -67,7 +67,7 @@
        {"required", pointText(Request.Required)},
        {"took_ms", std::to_string(Milliseconds.count())},
        {"configuration", std::to_string(Core.Ports.Routes()->Version)},
-       {"reason", Error ? Error->Reason : Request.LastTrouble}});
+       {"reason", Error ? Error->Reason : Request.LastProblem}});
 }
 
 void count(session_core &Core, const caller_session &Session,
@@ -100,7 +100,7 @@
     return;
   const base::instant Now = base::now();
   count(Core, Session, Request, Answer, Now - Request.Arrived);
-  if (mayLog(Core.Budget, Answer.Error.has_value(), Now))
+  if (mayLog(Core.LogBudget, Answer.Error.has_value(), Now))
     writeLine(Core, Session, Request, Answer, Now - Request.Arrived);
 }
 
@@ -109,7 +109,7 @@
   const bool Answered = Reply.Exchange.Outcome == exchange_outcome::Answered;
   add(counterOf(Core.Metrics, metric::RelayedTotal,
                 {std::string(forwardingFailureName(Reply.Failure))}));
-  if (Answered || !mayLog(Core.Budget, true, base::now()))
+  if (Answered || !mayLog(Core.LogBudget, true, base::now()))
     return;
   const pool_ptr Pool = poolOf(Core.Set, Request.Endpoint);
   // One that is not listed any more has nothing to tell.
--- a/packages/session/src/core_parts.hpp
+++ b/packages/session/src/core_parts.hpp
@@ -26,14 +26,14 @@
   /// The instance that ran the last try for this one; empty: none.
   base::instance_name Via;
   /// Until when it waits for a primary; set when the waiting begins.
-  std::optional<base::instant> WaitEnd;
+  std::optional<base::instant> PrimaryWaitDeadline;
   /// What the last try went by: whether it used the primary, under which
   /// agreement, and the point that a replica had to prove.
   bool OnPrimary = false;
   std::uint64_t Epoch = 0;
   std::optional<log_point> Required;
   /// Why the last try did not serve it; for logs and refusals.
-  std::string LastTrouble;
+  std::string LastProblem;
 };
 
 /// An endpoint's connection to run on, and what it is trusted for.
@@ -62,17 +62,19 @@
 
 /// Finds an endpoint and a connection for \p Request, waiting where that can
 /// help. \p NeedsPrimary: writes and transactions that may write.
-base::task<std::optional<placement>> place(session_core &Core,
-                                           caller_session &Session,
-                                           request &Request, bool NeedsPrimary);
+base::task<std::optional<placement>> findPlacement(session_core &Core,
+                                                   caller_session &Session,
+                                                   request &Request,
+                                                   bool NeedsPrimary);
 
 /// Until when to wait for something that is not known to come: longer holds
 /// keep callers from trying elsewhere.
-base::instant patienceEnd(const session_core &Core, const request &Request);
+base::instant patienceDeadline(const session_core &Core,
+                               const request &Request);
 
 /// Until when to wait for a turn on an endpoint's slots: it comes, unlike what
-/// patienceEnd is for, and later the answer would be late.
-base::instant queueEnd(const session_core &Core, const request &Request);
+/// patienceDeadline is for, and later the answer would be late.
+base::instant queueDeadline(const session_core &Core, const request &Request);
 
 /// Runs the caller's statement on the placement's connection, set up for the
 /// session.
@@ -81,8 +83,9 @@
 
 /// Runs \p Statement on the placement's connection or through the endpoint's
 /// owner, noting for how long the endpoint leaves it unanswered.
-base::task<exchange> runPlaced(session_core &Core, request &Request,
-                               placement &Placement, link_statement Statement);
+base::task<exchange> runOnPlacement(session_core &Core, request &Request,
+                                    placement &Placement,
+                                    link_statement Statement);
 
 /// Takes in what an exchange tells about the endpoint, and a commit's
 /// position. Closes or gives back the connection unless \p Keep.
--- a/packages/session/src/deadline_watch.cpp
+++ b/packages/session/src/deadline_watch.cpp
@@ -10,14 +10,14 @@
 namespace asio = boost::asio;
 
 struct deadline_watch::state : std::enable_shared_from_this<state> {
-  state(asio::any_io_executor Executor, base::milliseconds Pace)
-      : Timer(Executor), Pace(Pace) {}
+  state(asio::any_io_executor Executor, base::milliseconds TickInterval)
+      : Timer(Executor), TickInterval(TickInterval) {}
 
   void arm();
   void expire();
 
   asio::steady_timer Timer;
-  base::milliseconds Pace;
+  base::milliseconds TickInterval;
   std::map<std::pair<base::instant, id>, std::function<void()>> Watched;
   std::map<id, base::instant> Deadlines;
   id LastId = 0;
@@ -28,7 +28,7 @@
   if (Armed || Watched.empty())
     return;
   Armed = true;
-  Timer.expires_after(Pace);
+  Timer.expires_after(TickInterval);
   Timer.async_wait([Self = shared_from_this()](boost::system::error_code) {
     Self->Armed = false;
     Self->expire();
@@ -46,8 +46,8 @@
 }
 
 deadline_watch::deadline_watch(asio::any_io_executor Executor,
-                               base::milliseconds Pace)
-    : State(std::make_shared<state>(std::move(Executor), Pace)) {}
+                               base::milliseconds TickInterval)
+    : State(std::make_shared<state>(std::move(Executor), TickInterval)) {}
 
 deadline_watch::~deadline_watch() {
   State->Watched.clear();
--- a/packages/session/src/directory.cpp
+++ b/packages/session/src/directory.cpp
@@ -10,15 +10,15 @@
 /// Whether the list has been readable for long enough that a missing entry
 /// means a missing endpoint.
 bool isTrusted(const directory &Directory, base::instant Now) {
-  return !Directory.ReturnedAt ||
-         Now - *Directory.ReturnedAt > Directory.Limits.ReturnTime;
+  return !Directory.ReadableSince ||
+         Now - *Directory.ReadableSince > Directory.Limits.ReregistrationTime;
 }
 
 void noteReading(directory &Directory, base::instant Now) {
   const bool WasAway = Directory.ReadAt &&
                        Now - *Directory.ReadAt > Directory.Limits.OutageAfter;
   if (WasAway)
-    Directory.ReturnedAt = Now;
+    Directory.ReadableSince = Now;
   Directory.ReadAt = Now;
 }
 
@@ -52,9 +52,9 @@
   return wire::hashOf(Text);
 }
 
-directory_changes onList(directory &Directory,
-                         const std::vector<endpoint_entry> &Entries,
-                         base::instant Now) {
+directory_changes updateDirectory(directory &Directory,
+                                  const std::vector<endpoint_entry> &Entries,
+                                  base::instant Now) {
   noteReading(Directory, Now);
   directory_changes Changes;
   for (const endpoint_entry &Entry : Entries)
@@ -81,10 +81,10 @@
   return Found;
 }
 
-bool takesWork(const directory &Directory, const known_endpoint &Endpoint,
-               base::instant Now) {
+bool acceptsWork(const directory &Directory, const known_endpoint &Endpoint,
+                 base::instant Now) {
   return !Endpoint.LeavingSince ||
-         Now - *Endpoint.LeavingSince < Directory.Limits.LeavingUse;
+         Now - *Endpoint.LeavingSince < Directory.Limits.LeavingGrace;
 }
 
 const endpoint_entry *findEndpoint(const directory &Directory,
--- a/packages/session/src/endpoint_choice.cpp
+++ b/packages/session/src/endpoint_choice.cpp
@@ -9,8 +9,8 @@
               base::instant Now) {
   if (Candidate.Failures == 0)
     return false;
-  constexpr unsigned MostDoublings = 5;
-  const unsigned Doublings = std::min(Candidate.Failures - 1, MostDoublings);
+  constexpr unsigned MaxDoublings = 5;
+  const unsigned Doublings = std::min(Candidate.Failures - 1, MaxDoublings);
   const auto Pause =
       std::min(Limits.FailurePause * (1U << Doublings), Limits.LongestPause);
   return Now - Candidate.LastFailure < Pause;
@@ -27,9 +27,9 @@
   double Expected = Statement * (1 + Queued);
   Expected += Candidate.HasIdle ? 0 : Limits.ConnectMs;
   Expected += Candidate.Exhausted ? Statement : 0;
-  Expected += Candidate.SameZone ? 0 : Limits.OtherZoneMs;
-  Expected += Candidate.IsPrimary ? Limits.PrimaryMs : 0;
-  Expected += Candidate.Trails ? Limits.TrailMs : 0;
+  Expected += Candidate.SameZone ? 0 : Limits.CrossZoneMs;
+  Expected += Candidate.IsPrimary ? Limits.PrimaryPenaltyMs : 0;
+  Expected += Candidate.ProbablyLags ? Limits.LaggingPenaltyMs : 0;
   return Expected;
 }
 
--- a/packages/session/src/endpoint_owner.cpp
+++ b/packages/session/src/endpoint_owner.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 /// An instance that was not heard for so long is passed over: three heartbeats.
-constexpr base::milliseconds HeardWithin{650};
+constexpr base::milliseconds MaxHeartbeatAge{650};
 
 } // namespace
 
@@ -22,7 +22,7 @@
   if (usesRelays(Membership))
     return Member.State == Alive;
   return Member.State == Alive && Member.ArrivedAt &&
-         Now - *Member.ArrivedAt <= HeardWithin;
+         Now - *Member.ArrivedAt <= MaxHeartbeatAge;
 }
 
 std::vector<owner_candidate> ownersAmong(const control::membership &Membership,
@@ -36,10 +36,10 @@
 
 const owner_candidate *ownerOf(std::string_view Endpoint, std::string_view Zone,
                                const std::vector<owner_candidate> &Candidates) {
-  const std::uint32_t Place = control::rendezvousPlace(Endpoint);
+  const std::uint32_t EndpointHash = control::rendezvousPlace(Endpoint);
   const auto Weight = [&](const owner_candidate &Candidate) {
     const std::uint32_t Draw = control::rendezvousDraw(
-        Place, control::rendezvousPlace(Candidate.Name));
+        EndpointHash, control::rendezvousPlace(Candidate.Name));
     return std::tuple(Candidate.Zone == Zone, Draw,
                       std::string_view(Candidate.Name));
   };
--- a/packages/session/src/endpoint_pool.cpp
+++ b/packages/session/src/endpoint_pool.cpp
@@ -20,15 +20,15 @@
 
 /// What the owner said of its load counts for about as long as a few
 /// statements take; then what is known here is the better guess.
-constexpr milliseconds OwnerLoadCounts{150};
+constexpr milliseconds OwnerLoadValidFor{150};
 
 /// Statements sent beyond the endpoint's slots: the next one is there when a
 /// slot gets free, and not a round trip later.
-constexpr unsigned SentAhead = 1;
+constexpr unsigned ExtraInFlight = 1;
 /// An endpoint that left all without an answer for so long, and for so many
 /// times of a usual statement, takes no more statements that would wait.
 constexpr milliseconds StalledAfter{250};
-constexpr double StalledTimes = 8;
+constexpr double StalledFactor = 8;
 
 acquire_failure failureOf(const exchange &Exchange) {
   if (Exchange.Outcome != exchange_outcome::Answered || !Exchange.Answer.Error)
@@ -55,14 +55,14 @@
 
 void endpoint_pool::setEntry(endpoint_entry NewEntry) {
   Entry = std::move(NewEntry);
-  Slots.MaxRunning = Entry.Slots == 0 ? 0 : Entry.Slots + SentAhead;
+  Slots.MaxRunning = Entry.Slots == 0 ? 0 : Entry.Slots + ExtraInFlight;
 }
 
 /// Whether everything that runs there has been without an answer for long: a
 /// turn would not come, and the endpoint may be gone.
 bool endpoint_pool::isStalled(instant Now) const {
   const auto Usual =
-      milliseconds(static_cast<std::int64_t>(StalledTimes * Health.Latency));
+      milliseconds(static_cast<std::int64_t>(StalledFactor * Health.Latency));
   const milliseconds Longest = std::max(StalledAfter, Usual);
   const instant Oldest = oldestUnanswered().value_or(Now);
   return Now - Oldest > Longest && Now - Health.LastSuccess > Longest;
@@ -142,7 +142,7 @@
   // which is free soon, a statement does better to wait for that one.
   if (Open < Limits.Connections)
     return Open == 0 || !wasRefused(Limits.FullPause);
-  return Open < Limits.MostConnections && !wasRefused(Limits.RefusedPause);
+  return Open < Limits.MaxConnections && !wasRefused(Limits.RefusedPause);
 }
 
 /// Closes the idle connection that was used longest ago.
@@ -276,7 +276,7 @@
 
 std::size_t endpoint_pool::load(instant Now) const {
   const std::size_t Own = Slots.Running + waiting() + Forwarded;
-  const bool Told = OwnerLoadAt && Now - *OwnerLoadAt < OwnerLoadCounts;
+  const bool Told = OwnerLoadAt && Now - *OwnerLoadAt < OwnerLoadValidFor;
   return Told ? std::max(Own, OwnerLoad) : Own;
 }
 
--- a/packages/session/src/endpoint_set.cpp
+++ b/packages/session/src/endpoint_set.cpp
@@ -40,10 +40,10 @@
     : Executor(Executor), Zone(std::move(Zone)), Factory(std::move(Factory)),
       Watch(Executor) {}
 
-directory_changes applyList(endpoint_set &Set,
-                            const std::vector<endpoint_entry> &Entries,
-                            base::instant Now) {
-  directory_changes Changes = onList(Set.Directory, Entries, Now);
+directory_changes updateEndpoints(endpoint_set &Set,
+                                  const std::vector<endpoint_entry> &Entries,
+                                  base::instant Now) {
+  directory_changes Changes = updateDirectory(Set.Directory, Entries, Now);
   for (const base::endpoint_name &Name : Changes.Gone)
     Set.Pools.erase(Name);
   for (const base::endpoint_name &Name : Changes.Started)
@@ -66,8 +66,8 @@
                base::instant Now) {
   std::vector<choice_candidate> Candidates;
   for (const auto &[Name, Known] : Set.Directory.Endpoints) {
-    const bool Serves =
-        Known.Entry.Service == Service && takesWork(Set.Directory, Known, Now);
+    const bool Serves = Known.Entry.Service == Service &&
+                        acceptsWork(Set.Directory, Known, Now);
     const pool_ptr Pool = Serves ? poolOf(Set, Name) : nullptr;
     if (Pool == nullptr)
       continue;
@@ -75,8 +75,8 @@
         PrimaryLease != nullptr && PrimaryLease->Endpoint == Name;
     choice_candidate &Candidate = Candidates.emplace_back(
         candidateOf(*Pool, Customer, Set.Zone, IsPrimary, Now));
-    Candidate.Trails = !IsPrimary && Required &&
-                       probablyTrails(Pool->health().Lag, *Required, Now);
+    Candidate.ProbablyLags = !IsPrimary && Required &&
+                             probablyLags(Pool->health().Lag, *Required, Now);
   }
   return rank(std::move(Candidates), Set.Choice, Now);
 }
--- a/packages/session/src/forwarding_client.cpp
+++ b/packages/session/src/forwarding_client.cpp
@@ -139,7 +139,7 @@
   base::task<bool> open(instant Deadline);
   std::string requestFor(const link_statement &Statement, instant WaitUntil,
                          instant Deadline) const;
-  base::task<forwarding_reply> converse(std::string Bytes);
+  base::task<forwarding_reply> sendAndReceive(std::string Bytes);
 
   std::shared_ptr<state> Client;
   std::shared_ptr<owner_connections> Connections;
@@ -175,7 +175,7 @@
 
 /// Sends a request and reads the reply. OwnerLost when none came.
 base::task<forwarding_reply>
-forwarding_client::state::link::converse(std::string Bytes) {
+forwarding_client::state::link::sendAndReceive(std::string Bytes) {
   forwarding_reply Lost;
   Lost.Failure = forwarding_failure::OwnerLost;
   const bool Sent = co_await Stream->send(Bytes);
@@ -199,7 +199,7 @@
   const deadline_guard Guard(Client->Watch, Deadline,
                              [this] { Stream->close(); });
   std::string Bytes = requestFor(Statement, WaitUntil, Deadline);
-  forwarding_reply Reply = co_await converse(std::move(Bytes));
+  forwarding_reply Reply = co_await sendAndReceive(std::move(Bytes));
   if (Reply.Failure == forwarding_failure::OwnerLost) {
     Stream.reset();
     Client->noteLost(*Connections, Guard.expired() ? "no answer" : "broke off");
--- a/packages/session/src/forwarding_server.cpp
+++ b/packages/session/src/forwarding_server.cpp
@@ -42,7 +42,7 @@
       : Executor(Executor), Core(Core), Secret(std::move(Secret)),
         Acceptor(Executor) {}
 
-  void take(asio::ip::tcp::socket Socket);
+  void accept(asio::ip::tcp::socket Socket);
   base::task<void> serveConnection(std::shared_ptr<connection> Connection);
   base::task<std::optional<std::string>> nextMessage(connection &Connection);
   base::task<bool> serveMessage(connection &Connection, std::string Bytes);
@@ -59,7 +59,7 @@
   unsigned ActiveTransfers = 0;
 };
 
-void forwarding_server::state::take(asio::ip::tcp::socket Socket) {
+void forwarding_server::state::accept(asio::ip::tcp::socket Socket) {
   const auto Connection = std::make_shared<connection>(std::move(Socket));
   Connections.insert(Connection);
   asio::co_spawn(Executor, serveConnection(Connection), asio::detached);
@@ -166,7 +166,7 @@
         State->Executor,
         http::acceptConnections(State->Acceptor,
                                 [Self = State](asio::ip::tcp::socket Socket) {
-                                  Self->take(std::move(Socket));
+                                  Self->accept(std::move(Socket));
                                 }),
         asio::detached);
   return Listening;
--- a/packages/session/src/handover.cpp
+++ b/packages/session/src/handover.cpp
@@ -58,11 +58,12 @@
   if (Acknowledged.All)
     return true;
   return Acknowledged.HalfSince &&
-         Now - *Acknowledged.HalfSince > Limits.HeartbeatsCount &&
-         Now - Acknowledged.ClaimedAt > Limits.ReadingCounts;
+         Now - *Acknowledged.HalfSince > Limits.HeartbeatsValidFor &&
+         Now - Acknowledged.ClaimedAt > Limits.ReadingValidFor;
 }
 
-bool mayGoOn(const std::optional<endpoint_status> &Old, bool Resumed) {
+bool mayKeepOldPrimary(const std::optional<endpoint_status> &Old,
+                       bool Resumed) {
   return !Resumed && Old && Old->Role == endpoint_role::Primary;
 }
 
--- a/packages/session/src/link_setup.cpp
+++ b/packages/session/src/link_setup.cpp
@@ -8,8 +8,8 @@
          !Exchange.Answer.Error;
 }
 
-base::task<bool> runOwn(pooled_link &Link, std::string Text,
-                        base::instant Deadline) {
+base::task<bool> runInternal(pooled_link &Link, std::string Text,
+                             base::instant Deadline) {
   const exchange Exchange =
       co_await Link.Link->run({}, Text, std::nullopt, Deadline);
   co_return isDone(Exchange);
@@ -19,7 +19,8 @@
   Link.ValuesKnown = false;
   Link.Values.clear();
   Link.Prepared.clear();
-  const bool Done = co_await runOwn(Link, Link.Link->resetText(), Deadline);
+  const bool Done =
+      co_await runInternal(Link, Link.Link->resetText(), Deadline);
   Link.ValuesKnown = Done;
   co_return Done;
 }
@@ -34,7 +35,7 @@
     co_return Found->second;
   std::string Name = "p" + std::to_string(Link.Prepared.size() + 1);
   std::string Text = Link.Link->prepareText(Name, Operand);
-  const bool Done = co_await runOwn(Link, std::move(Text), Deadline);
+  const bool Done = co_await runInternal(Link, std::move(Text), Deadline);
   if (!Done)
     co_return std::string();
   Link.Prepared.emplace(Operand, Name);
@@ -84,7 +85,7 @@
     if (Present != Link.Values.end() && Present->second == Value)
       continue;
     std::string Text = Link.Link->setText(Name, Value);
-    const bool Done = co_await runOwn(Link, std::move(Text), Deadline);
+    const bool Done = co_await runInternal(Link, std::move(Text), Deadline);
     if (!Done) {
       Link.ValuesKnown = false;
       co_return false;
--- a/packages/session/src/placement.cpp
+++ b/packages/session/src/placement.cpp
@@ -15,11 +15,11 @@
 using base::milliseconds;
 
 /// Pause before looking again for an endpoint that can serve.
-constexpr milliseconds LookAgain{20};
+constexpr milliseconds RetryInterval{20};
 
 /// Until when a connection may be set up: a statement that gets it then can
 /// still be answered within the aimed latency.
-instant setUpEnd(const session_core &Core, const request &Request) {
+instant setUpDeadline(const session_core &Core, const request &Request) {
   const auto Time = std::chrono::duration_cast<base::microseconds>(
       Request.Route.TargetLatency * Core.Limits.SetUpShare);
   return std::min(Request.Deadline,
@@ -30,14 +30,16 @@
 /// come too late is refused at once; what does not come as expected is not
 /// waited for up to the end, or the caller would have no time left to go
 /// elsewhere.
-instant waitEnd(const session_core &Core, request &Request, instant Expected) {
-  if (Request.WaitEnd)
-    return *Request.WaitEnd;
+instant primaryWaitDeadline(const session_core &Core, request &Request,
+                            instant Expected) {
+  if (Request.PrimaryWaitDeadline)
+    return *Request.PrimaryWaitDeadline;
   constexpr milliseconds Margin{400};
   const bool InTime = Expected < Request.Deadline;
-  Request.WaitEnd = InTime ? std::min(Request.Deadline, Expected + Margin)
-                           : patienceEnd(Core, Request);
-  return *Request.WaitEnd;
+  Request.PrimaryWaitDeadline =
+      InTime ? std::min(Request.Deadline, Expected + Margin)
+             : patienceDeadline(Core, Request);
+  return *Request.PrimaryWaitDeadline;
 }
 
 /// The point that a read of this session must see; nothing when only the
@@ -98,20 +100,20 @@
   }
   slot_grant Grant =
       co_await acquireSlot(Pool, levelOf(Request.Route.Priority),
-                           Session.Customer, queueEnd(Core, Request));
+                           Session.Customer, queueDeadline(Core, Request));
   if (!Grant) {
-    Request.LastTrouble = "no turn at " + Name + " in time, " +
+    Request.LastProblem = "no turn at " + Name + " in time, " +
                           std::to_string(Pool->waiting()) + " waiting";
     co_return std::nullopt;
   }
-  acquired Acquired = co_await Pool->acquire(Session.Customer, Session.Values,
-                                             Latest, setUpEnd(Core, Request));
+  acquired Acquired = co_await Pool->acquire(
+      Session.Customer, Session.Values, Latest, setUpDeadline(Core, Request));
   if (!Acquired.Link) {
-    Request.LastTrouble = "no connection to " + Name + ", " +
+    Request.LastProblem = "no connection to " + Name + ", " +
                           std::to_string(Pool->open()) + " open, " +
                           std::to_string(Pool->waiting()) + " waiting";
     if (Acquired.Failure == acquire_failure::Unreachable)
-      Core.Ports.NoteTrouble(Name);
+      Core.Ports.NoteEndpointProblem(Name);
     co_return std::nullopt;
   }
   Placement.Link = leased_link(Pool, std::move(Acquired.Link));
@@ -170,7 +172,7 @@
   const choice_candidate Chosen = nextUntried(Candidates, Request);
   Request.Tried.push_back(Chosen.Name);
   auto Placement = co_await connectTo(Core, Session, Request, Chosen.Name,
-                                      patienceEnd(Core, Request));
+                                      patienceDeadline(Core, Request));
   if (!Placement)
     co_return std::nullopt;
   if (Chosen.IsPrimary)
@@ -190,28 +192,29 @@
 base::task<bool> awaitPrimary(session_core &Core, request &Request) {
   const instant Now = base::now();
   const base::service_name &Service = Request.Route.Service;
-  Request.LastTrouble = "no primary of " + Service;
+  Request.LastProblem = "no primary of " + Service;
   const auto Expected = Core.Ports.PrimaryExpected(Service);
-  const instant Latest = Expected ? waitEnd(Core, Request, Now + *Expected)
-                                  : patienceEnd(Core, Request);
-  const bool Worthwhile = Now + LookAgain < Latest;
+  const instant Latest =
+      Expected ? primaryWaitDeadline(Core, Request, Now + *Expected)
+               : patienceDeadline(Core, Request);
+  const bool Worthwhile = Now + RetryInterval < Latest;
   if (Worthwhile)
-    co_await pauseFor(Core, LookAgain);
+    co_await pauseFor(Core, RetryInterval);
   co_return Worthwhile;
 }
 
 bool mayTryAgain(const session_core &Core, request &Request) {
   ++Request.Tries;
   return Request.Tries < Core.Limits.MaxTries &&
-         base::now() < patienceEnd(Core, Request);
+         base::now() < patienceDeadline(Core, Request);
 }
 
 } // namespace
 
-base::task<std::optional<placement>> place(session_core &Core,
-                                           caller_session &Session,
-                                           request &Request,
-                                           bool NeedsPrimary) {
+base::task<std::optional<placement>> findPlacement(session_core &Core,
+                                                   caller_session &Session,
+                                                   request &Request,
+                                                   bool NeedsPrimary) {
   while (true) {
     const instant Now = base::now();
     const auto PrimaryLease = Core.Ports.PrimaryLease(Request.Route.Service);
--- a/packages/session/src/replica_lag.cpp
+++ b/packages/session/src/replica_lag.cpp
@@ -10,8 +10,8 @@
 }
 
 base::milliseconds pauseAfter(const replica_lag &Lag) {
-  constexpr unsigned MostDoublings = 5;
-  const unsigned Doublings = std::min(Lag.Misses - 1, MostDoublings);
+  constexpr unsigned MaxDoublings = 5;
+  const unsigned Doublings = std::min(Lag.Refusals - 1, MaxDoublings);
   return std::min(Lag.Limits.FirstPause * (1U << Doublings),
                   Lag.Limits.LongestPause);
 }
@@ -23,29 +23,29 @@
 }
 
 void noteServed(replica_lag &Lag) {
-  Lag.Misses = 0;
-  Lag.UsualMs *= 1 - Lag.Limits.Forget;
+  Lag.Refusals = 0;
+  Lag.TypicalLagMs *= 1 - Lag.Limits.DecayRate;
 }
 
-void noteTrailing(replica_lag &Lag, const required_point &Required,
-                  base::instant Now) {
+void noteLagging(replica_lag &Lag, const required_point &Required,
+                 base::instant Now) {
   const base::milliseconds Age = ageOf(Required, Now);
-  Lag.MissedAt = Now;
-  if (Age > Lag.Limits.LongestUsual) {
-    ++Lag.Misses;
+  Lag.LastRefusalAt = Now;
+  if (Age > Lag.Limits.MaxTypicalLag) {
+    ++Lag.Refusals;
     return;
   }
-  const double Above = static_cast<double>(Age.count()) - Lag.UsualMs;
-  Lag.UsualMs += std::max(0.0, Above) * Lag.Limits.Learn;
+  const double Above = static_cast<double>(Age.count()) - Lag.TypicalLagMs;
+  Lag.TypicalLagMs += std::max(0.0, Above) * Lag.Limits.LearningRate;
 }
 
-bool probablyTrails(const replica_lag &Lag, const required_point &Required,
-                    base::instant Now) {
+bool probablyLags(const replica_lag &Lag, const required_point &Required,
+                  base::instant Now) {
   if (Required.Point <= Lag.Reached)
     return false;
-  if (Lag.Misses > 0 && Now - Lag.MissedAt < pauseAfter(Lag))
+  if (Lag.Refusals > 0 && Now - Lag.LastRefusalAt < pauseAfter(Lag))
     return true;
-  return static_cast<double>(ageOf(Required, Now).count()) < Lag.UsualMs;
+  return static_cast<double>(ageOf(Required, Now).count()) < Lag.TypicalLagMs;
 }
 
 } // namespace redwinggw::session
--- a/packages/session/src/single_statement.cpp
+++ b/packages/session/src/single_statement.cpp
@@ -5,12 +5,12 @@
 namespace {
 
 /// What to do after one try.
-enum class verdict { Deliver, TryAgain };
+enum class next_step { Deliver, TryAgain };
 
 /// Whether an endpoint's error means that this statement can still be served,
 /// here or elsewhere. Reads may always be repeated; a write only when the
 /// error proves that it did not run.
-verdict judgeError(answer_code Code, bool Writes) {
+next_step decideAfterError(answer_code Code, bool Writes) {
   switch (Code) {
   case answer_code::Busy:
   case answer_code::Lagging:
@@ -18,26 +18,26 @@
   case answer_code::Misrouted:
   case answer_code::TooMany:
   case answer_code::Unknown:
-    return verdict::TryAgain;
+    return next_step::TryAgain;
   case answer_code::Failed:
   case answer_code::Timeout:
-    return Writes ? verdict::Deliver : verdict::TryAgain;
+    return Writes ? next_step::Deliver : next_step::TryAgain;
   default:
-    return verdict::Deliver;
+    return next_step::Deliver;
   }
 }
 
-verdict judge(const exchange &Exchange, bool Writes) {
+next_step decideAfterTry(const exchange &Exchange, bool Writes) {
   if (Exchange.Outcome == exchange_outcome::NotSent)
-    return verdict::TryAgain;
+    return next_step::TryAgain;
   if (Exchange.Outcome != exchange_outcome::Answered)
-    return Writes ? verdict::Deliver : verdict::TryAgain;
+    return Writes ? next_step::Deliver : next_step::TryAgain;
   if (!Exchange.Answer.Error)
-    return verdict::Deliver;
-  return judgeError(Exchange.Answer.Error->Code, Writes);
+    return next_step::Deliver;
+  return decideAfterError(Exchange.Answer.Error->Code, Writes);
 }
 
-std::string troubleOf(const exchange &Exchange, std::string_view Endpoint) {
+std::string problemOf(const exchange &Exchange, std::string_view Endpoint) {
   const std::string Name(Endpoint);
   switch (Exchange.Outcome) {
   case exchange_outcome::NotSent:
@@ -58,17 +58,17 @@
 answer finalAnswer(const session_core &Core, const request &Request,
                    const exchange &Exchange) {
   const auto &Error = Exchange.Answer.Error;
-  if (Error && !isPromise(Error->Code) && Request.Writes)
-    return makeError(Error->Code, Request.LastTrouble);
+  if (Error && !isSafeToRetry(Error->Code) && Request.Writes)
+    return makeError(Error->Code, Request.LastProblem);
   const bool Sent = Exchange.Outcome == exchange_outcome::Broken ||
                     Exchange.Outcome == exchange_outcome::TimedOut;
   if (Request.Writes && Sent)
     return makeError(Exchange.Outcome == exchange_outcome::TimedOut
                          ? answer_code::Timeout
                          : answer_code::InDoubt,
-                     Request.LastTrouble + "; the write may have run");
+                     Request.LastProblem + "; the write may have run");
   if (!Request.Writes && Exchange.Outcome == exchange_outcome::TimedOut)
-    return makeError(answer_code::Timeout, Request.LastTrouble);
+    return makeError(answer_code::Timeout, Request.LastProblem);
   return makeError(refusal(Core, Request));
 }
 
@@ -78,18 +78,18 @@
   const bool Done =
       Last.Outcome == exchange_outcome::Answered && !Last.Answer.Error;
   if (!Done) {
-    Request.LastTrouble = troubleOf(Last, Placement.Link.Pool->entry().Name);
-    if (judge(Last, Request.Writes) == verdict::TryAgain)
+    Request.LastProblem = problemOf(Last, Placement.Link.Pool->entry().Name);
+    if (decideAfterTry(Last, Request.Writes) == next_step::TryAgain)
       return std::nullopt;
     return finalAnswer(Core, Request, Last);
   }
   // The answer counts only if nobody can have been promoted before it.
   if (!Placement.PrimaryLease || Core.Ports.StillHolds(*Placement.PrimaryLease))
     return std::move(Last.Answer);
-  Request.LastTrouble = "the primary was replaced meanwhile";
+  Request.LastProblem = "the primary was replaced meanwhile";
   Last = {};
   if (Request.Writes)
-    return makeError(answer_code::InDoubt, Request.LastTrouble);
+    return makeError(answer_code::InDoubt, Request.LastProblem);
   return std::nullopt;
 }
 
@@ -101,7 +101,8 @@
       Request.Writes || Request.Route.Consistency == consistency::Primary;
   exchange Last;
   while (Request.Tries < Core.Limits.MaxTries) {
-    auto Placement = co_await place(Core, Session, Request, NeedsPrimary);
+    auto Placement =
+        co_await findPlacement(Core, Session, Request, NeedsPrimary);
     if (!Placement)
       co_return makeError(refusal(Core, Request));
     ++Request.Tries;
--- a/packages/session/src/transaction.cpp
+++ b/packages/session/src/transaction.cpp
@@ -26,7 +26,8 @@
   Statement.Values = Session.Values;
   Statement.After = pointOf(Placement);
   Statement.PrimaryLease = Placement.PrimaryLease;
-  co_return co_await runPlaced(Core, Request, Placement, std::move(Statement));
+  co_return co_await runOnPlacement(Core, Request, Placement,
+                                    std::move(Statement));
 }
 
 bool isOpened(const exchange &Exchange) {
@@ -43,14 +44,15 @@
       !Transaction.ReadOnly ||
       Transaction.Route.Consistency == consistency::Primary;
   while (Request.Tries < Core.Limits.MaxTries) {
-    auto Placement = co_await place(Core, Session, Request, NeedsPrimary);
+    auto Placement =
+        co_await findPlacement(Core, Session, Request, NeedsPrimary);
     if (!Placement)
       co_return false;
     ++Request.Tries;
     const exchange Begun = co_await beginOn(Core, Session, Request, *Placement,
                                             Transaction.ReadOnly);
     const bool Opened = isOpened(Begun);
-    Request.LastTrouble =
+    Request.LastProblem =
         Placement->Link.Pool->entry().Name + " did not begin the transaction";
     settle(Core, Session, Request, *Placement, Begun, Opened);
     if (Opened) {
@@ -179,8 +181,8 @@
                      "the connection to the endpoint was lost before the "
                      "commit was sent");
   if (Error)
-    return makeError(isPromise(Error->Code) ? answer_code::Aborted
-                                            : Error->Code,
+    return makeError(isSafeToRetry(Error->Code) ? answer_code::Aborted
+                                                : Error->Code,
                      "the endpoint answered the commit with " +
                          std::string(answerCodeName(Error->Code)));
   return makeError(Done.Outcome == exchange_outcome::TimedOut
@@ -216,7 +218,7 @@
   Statement.Text = Request.Statement.Text;
   Statement.PrimaryLease = Placement.PrimaryLease;
   exchange Done =
-      co_await runPlaced(Core, Request, Placement, std::move(Statement));
+      co_await runOnPlacement(Core, Request, Placement, std::move(Statement));
   settle(Core, Session, Request, Placement, Done, false);
   const bool Trusted =
       !Placement.PrimaryLease || Core.Ports.StillHolds(*Placement.PrimaryLease);
--- a/packages/session/src/try_statement.cpp
+++ b/packages/session/src/try_statement.cpp
@@ -10,13 +10,13 @@
 using base::instant;
 using base::milliseconds;
 
-instant patienceEnd(const session_core &Core, const request &Request) {
+instant patienceDeadline(const session_core &Core, const request &Request) {
   const auto Patience = std::chrono::duration_cast<base::microseconds>(
       Request.Route.TargetLatency * Core.Limits.PatienceShare);
   return std::min(Request.Deadline, Request.Arrived + Patience);
 }
 
-instant queueEnd(const session_core &Core, const request &Request) {
+instant queueDeadline(const session_core &Core, const request &Request) {
   const auto Time = std::chrono::duration_cast<base::microseconds>(
       Request.Route.TargetLatency * Core.Limits.QueueShare);
   return std::min(Request.Deadline, Request.Arrived + Time);
@@ -31,7 +31,7 @@
   if (Exchange.Outcome != exchange_outcome::Answered || !Exchange.Answer.Error)
     return true;
   const answer_code Code = Exchange.Answer.Error->Code;
-  return !isPromise(Code) && Code != answer_code::Unknown;
+  return !isSafeToRetry(Code) && Code != answer_code::Unknown;
 }
 
 /// Has the endpoint's owner run the statement.
@@ -41,8 +41,9 @@
   forwarding_link &Forwarding = *Placement.Link.Link->Forwarding;
   endpoint_pool &Pool = *Placement.Link.Pool;
   Request.Via = Forwarding.owner();
-  const instant WaitUntil =
-      Placement.InTransaction ? Placement.TryDeadline : queueEnd(Core, Request);
+  const instant WaitUntil = Placement.InTransaction
+                                ? Placement.TryDeadline
+                                : queueDeadline(Core, Request);
   forwarding_reply Reply =
       co_await Forwarding.run(Statement, WaitUntil, Placement.TryDeadline);
   Placement.Failure = Reply.Failure;
@@ -50,16 +51,16 @@
   if (Reply.Failure != forwarding_failure::OwnerLost)
     Pool.noteOwnerLoad(Reply.Load, base::now());
   if (Reply.Failure != forwarding_failure::None)
-    Request.LastTrouble = Pool.entry().Name + " through " + Request.Via + ": " +
+    Request.LastProblem = Pool.entry().Name + " through " + Request.Via + ": " +
                           std::string(forwardingFailureName(Reply.Failure));
   co_return std::move(Reply.Exchange);
 }
 
 /// Runs the statement on an own connection, which has its turn when it is the
 /// first one there.
-base::task<exchange> runHere(session_core &Core, request &Request,
-                             placement &Placement,
-                             const link_statement &Statement) {
+base::task<exchange> runLocally(session_core &Core, request &Request,
+                                placement &Placement,
+                                const link_statement &Statement) {
   Request.Via.clear();
   leased_link &Link = Placement.Link;
   if (!Link.Grant)
@@ -76,8 +77,9 @@
 
 } // namespace
 
-base::task<exchange> runPlaced(session_core &Core, request &Request,
-                               placement &Placement, link_statement Statement) {
+base::task<exchange> runOnPlacement(session_core &Core, request &Request,
+                                    placement &Placement,
+                                    link_statement Statement) {
   const pool_ptr Pool = Placement.Link.Pool;
   const instant Sent = base::now();
   Pool->noteSent(Sent);
@@ -86,7 +88,7 @@
     Exchange = co_await runByOwner(Core, Request, Placement, Statement);
     Exchange.SentAt = Sent;
   } else {
-    Exchange = co_await runHere(Core, Request, Placement, Statement);
+    Exchange = co_await runLocally(Core, Request, Placement, Statement);
   }
   Pool->noteEnded(Sent);
   Request.Ran = Request.Ran || mayHaveRun(Exchange);
@@ -106,7 +108,8 @@
     Statement.Prepared = Request.Prepared->Operand;
     Statement.Arguments = Request.Statement.Operand;
   }
-  co_return co_await runPlaced(Core, Request, Placement, std::move(Statement));
+  co_return co_await runOnPlacement(Core, Request, Placement,
+                                    std::move(Statement));
 }
 
 namespace {
@@ -122,7 +125,7 @@
     return;
   const auto &Error = Exchange.Answer.Error;
   if (Error && Error->Code == answer_code::Lagging)
-    noteTrailing(Lag, *Placement.Required, Now);
+    noteLagging(Lag, *Placement.Required, Now);
   else if (!Error)
     noteServed(Lag);
 }
@@ -136,7 +139,7 @@
   const auto &Error = Exchange.Answer.Error;
   noteLag(Pool.health().Lag, Placement, Exchange, Now);
   if (Error && Error->Code == answer_code::ReadOnly)
-    Core.Ports.NoteTrouble(Pool.entry().Name);
+    Core.Ports.NoteEndpointProblem(Pool.entry().Name);
   const auto Point = Exchange.Answer.Point;
   if (Error || !Point || !Placement.PrimaryLease ||
       !Core.Ports.StillHolds(*Placement.PrimaryLease))
@@ -183,14 +186,14 @@
     return;
   Pool.noteFailure(base::now());
   Pool.closeIdle();
-  Core.Ports.NoteTrouble(Pool.entry().Name);
+  Core.Ports.NoteEndpointProblem(Pool.entry().Name);
 }
 
 bool mayRetry(const session_core &Core, const request &Request,
               const placement &Last) {
   const instant Now = base::now();
   const bool Crowded = Last.Failure == forwarding_failure::NoConnection;
-  return Now < (Crowded ? patienceEnd(Core, Request) : Request.Deadline);
+  return Now < (Crowded ? patienceDeadline(Core, Request) : Request.Deadline);
 }
 
 answer makeError(answer_error Error) {
@@ -209,7 +212,7 @@
   constexpr milliseconds UnknownEnd{500};
   const milliseconds After =
       Core.Ports.PrimaryExpected(Request.Route.Service).value_or(UnknownEnd);
-  return {answer_code::Busy, Request.LastTrouble + "; retry after " +
+  return {answer_code::Busy, Request.LastProblem + "; retry after " +
                                  std::to_string(After.count()) + " ms"};
 }
 
--- a/tests/platform/line_codec_test.cpp
+++ b/tests/platform/line_codec_test.cpp
@@ -71,7 +71,7 @@
   cr_assert(Error.Code == answer_code::ReadOnly);
   cr_assert(Error.Reason == "i-7f3a91c2");
   // An unknown code promises nothing.
-  cr_assert(!isPromise(readError("SURPRISE x").Code));
+  cr_assert(!isSafeToRetry(readError("SURPRISE x").Code));
 }
 
 Test(line_codec, writes_answers) {
--- a/tests/session/directory_test.cpp
+++ b/tests/session/directory_test.cpp
@@ -24,9 +24,10 @@
 Test(directory, follows_the_list) {
   directory Directory;
   directory_changes Changes =
-      onList(Directory, {entry("a"), entry("b")}, Start);
+      updateDirectory(Directory, {entry("a"), entry("b")}, Start);
   cr_assert(Changes.Started.size() == 2);
-  Changes = onList(Directory, {entry("b")}, Start + milliseconds(1000));
+  Changes =
+      updateDirectory(Directory, {entry("b")}, Start + milliseconds(1000));
   cr_assert(Changes.Gone.size() == 1 && Changes.Gone.front() == "a");
   cr_assert(findEndpoint(Directory, "a") == nullptr);
 }
@@ -36,14 +37,14 @@
 // return. One that stays missing is gone.
 Test(directory, keeps_lapsed_entries_for_a_while_after_an_outage) {
   directory Directory;
-  onList(Directory, {entry("a"), entry("b")}, Start);
+  updateDirectory(Directory, {entry("a"), entry("b")}, Start);
   const instant Back = Start + milliseconds(6000);
-  cr_assert(onList(Directory, {}, Back).Gone.empty());
-  cr_assert(
-      onList(Directory, {entry("a")}, Back + milliseconds(1000)).Gone.empty());
+  cr_assert(updateDirectory(Directory, {}, Back).Gone.empty());
+  cr_assert(updateDirectory(Directory, {entry("a")}, Back + milliseconds(1000))
+                .Gone.empty());
   cr_assert(findEndpoint(Directory, "b") != nullptr);
   const auto Changes =
-      onList(Directory, {entry("a")}, Back + milliseconds(2300));
+      updateDirectory(Directory, {entry("a")}, Back + milliseconds(2300));
   cr_assert(Changes.Gone.size() == 1 && Changes.Gone.front() == "b");
 }
 
@@ -51,9 +52,9 @@
 // connections are void.
 Test(directory, tells_a_restarted_endpoint) {
   directory Directory;
-  onList(Directory, {entry("a", 1)}, Start);
+  updateDirectory(Directory, {entry("a", 1)}, Start);
   const auto Changes =
-      onList(Directory, {entry("a", 2)}, Start + milliseconds(500));
+      updateDirectory(Directory, {entry("a", 2)}, Start + milliseconds(500));
   cr_assert(Changes.Started.size() == 1);
 }
 
@@ -63,21 +64,21 @@
 Test(directory, gives_a_leaving_endpoint_no_work_after_a_while) {
   directory Directory;
   endpoint_entry Entry = entry("a");
-  onList(Directory, {Entry}, Start);
+  updateDirectory(Directory, {Entry}, Start);
   const auto Takes = [&](milliseconds After) {
-    return takesWork(Directory, Directory.Endpoints.at("a"), Start + After);
+    return acceptsWork(Directory, Directory.Endpoints.at("a"), Start + After);
   };
   cr_assert(Takes(milliseconds(60000)));
   Entry.Draining = true;
-  onList(Directory, {Entry}, Start + milliseconds(1000));
-  onList(Directory, {Entry}, Start + milliseconds(2000));
+  updateDirectory(Directory, {Entry}, Start + milliseconds(1000));
+  updateDirectory(Directory, {Entry}, Start + milliseconds(2000));
   cr_assert(Takes(milliseconds(4000)));
   cr_assert(!Takes(milliseconds(4600)));
   // Whoever starts now cannot know for how long it has been leaving.
   directory Later;
-  onList(Later, {Entry}, Start + milliseconds(2000));
+  updateDirectory(Later, {Entry}, Start + milliseconds(2000));
   cr_assert(
-      !takesWork(Later, Later.Endpoints.at("a"), Start + milliseconds(2000)));
+      !acceptsWork(Later, Later.Endpoints.at("a"), Start + milliseconds(2000)));
 }
 
 // Instances tell each other the digest of the list in place of the list, so any
--- a/tests/session/endpoint_choice_test.cpp
+++ b/tests/session/endpoint_choice_test.cpp
@@ -62,7 +62,7 @@
 
 Test(endpoint_choice, avoids_a_replica_that_probably_trails) {
   choice_candidate Trailing = candidate("trailing");
-  Trailing.Trails = true;
+  Trailing.ProbablyLags = true;
   cr_assert(best({Trailing, candidate("r")}) == "r");
   choice_candidate Leaving = candidate("leaving");
   Leaving.Draining = true;
--- a/tests/session/endpoint_pool_test.cpp
+++ b/tests/session/endpoint_pool_test.cpp
@@ -59,7 +59,7 @@
 // connection was free a moment later.
 Test(endpoint_pool, waits_for_its_own_connection_when_the_endpoint_is_full) {
   bench_pool Bench;
-  Bench.Group.MostConnections = 1;
+  Bench.Group.MaxConnections = 1;
   bool Got = false;
   boost::asio::co_spawn(Bench.Context, holdFor(Bench, milliseconds(30)),
                         boost::asio::detached);
@@ -78,7 +78,7 @@
   bench_pool Bench;
   pool_limits Limits;
   Limits.Connections = 8;
-  Limits.MostConnections = 8;
+  Limits.MaxConnections = 8;
   Limits.KeptConnections = 3;
   Bench.Pool->setLimits(Limits);
   for (int Count = 0; Count < 8; ++Count)
--- a/tests/session/fake_endpoint.hpp
+++ b/tests/session/fake_endpoint.hpp
@@ -31,7 +31,7 @@
   std::function<std::optional<exchange>(const seen_statement &)> Script;
   std::vector<seen_statement> Seen;
   /// The endpoint takes no connection above so many.
-  std::size_t MostConnections = SIZE_MAX;
+  std::size_t MaxConnections = SIZE_MAX;
   std::size_t Connected = 0;
   std::size_t Refusals = 0;
   log_point Point{1, 100};
@@ -81,7 +81,7 @@
                             std::string_view Customer, base::instant) override {
     Endpoint = Entry.Name;
     this->Customer = Customer;
-    if (Group.Connected >= Group.MostConnections) {
+    if (Group.Connected >= Group.MaxConnections) {
       ++Group.Refusals;
       co_return refused(answer_code::TooMany);
     }
@@ -161,7 +161,7 @@
       Entry.Slots = 5;
       Entries.push_back(Entry);
     }
-    applyList(Set, Entries, base::now());
+    updateEndpoints(Set, Entries, base::now());
     auto Table = std::make_shared<route_table>();
     Table->Version = 1;
     addRoute(*Table, "strict", consistency::Primary);
@@ -183,8 +183,8 @@
     Core.Ports.PrimaryExpected = [](std::string_view) {
       return std::optional<base::milliseconds>();
     };
-    Core.Ports.NoteTrouble = [this](std::string_view Name) {
-      Troubles.emplace_back(Name);
+    Core.Ports.NoteEndpointProblem = [this](std::string_view Name) {
+      Problems.emplace_back(Name);
     };
   }
 
@@ -257,7 +257,7 @@
   /// Operations whose part of the rate was given back.
   unsigned Returned = 0;
   std::optional<answer_error> OpenError;
-  std::vector<std::string> Troubles;
+  std::vector<std::string> Problems;
   unsigned LastId = 0;
 };
 
--- a/tests/session/handover_test.cpp
+++ b/tests/session/handover_test.cpp
@@ -93,7 +93,7 @@
 // may be promoted before that instance's right is over; and never on the word
 // of less than half: the others may still hear a majority among themselves.
 Test(handover, waits_out_the_lease_of_silent_instances) {
-  const auto Over = Start + Limits.ReadingCounts + milliseconds(1);
+  const auto Over = Start + Limits.ReadingValidFor + milliseconds(1);
   cr_assert(mayPromote({Start, true, Start}, Limits, Start));
   cr_assert(!mayPromote({Start, false, Start}, Limits, Start));
   cr_assert(mayPromote({Start, false, Start}, Limits, Over));
@@ -122,8 +122,8 @@
   Leads.Role = endpoint_role::Primary;
   endpoint_status Follows;
   Follows.Role = endpoint_role::Replica;
-  cr_assert(mayGoOn(Leads, false));
-  cr_assert(!mayGoOn(Leads, true));
-  cr_assert(!mayGoOn(Follows, false));
-  cr_assert(!mayGoOn(std::nullopt, false));
+  cr_assert(mayKeepOldPrimary(Leads, false));
+  cr_assert(!mayKeepOldPrimary(Leads, true));
+  cr_assert(!mayKeepOldPrimary(Follows, false));
+  cr_assert(!mayKeepOldPrimary(std::nullopt, false));
 }
--- a/tests/session/replica_lag_test.cpp
+++ b/tests/session/replica_lag_test.cpp
@@ -39,7 +39,7 @@
     Now += milliseconds(10);
     const milliseconds Age(AgeMs(Random));
     const required_point Required = pointOfAge(Age, Now, 50 + Read);
-    if (LagKnown && probablyTrails(Lag, Required, Now)) {
+    if (LagKnown && probablyLags(Lag, Required, Now)) {
       ++Result.Elsewhere;
       continue;
     }
@@ -49,7 +49,7 @@
       continue;
     }
     ++Result.Refused;
-    noteTrailing(Lag, Required, Now);
+    noteLagging(Lag, Required, Now);
   }
   return Result;
 }
@@ -58,13 +58,13 @@
 
 Test(replica_lag, trusts_a_replica_that_was_seen_to_have_it) {
   replica_lag Lag;
-  noteTrailing(Lag, pointOfAge(milliseconds(200), Start), Start);
-  cr_assert(probablyTrails(Lag, pointOfAge(milliseconds(50), Start), Start));
+  noteLagging(Lag, pointOfAge(milliseconds(200), Start), Start);
+  cr_assert(probablyLags(Lag, pointOfAge(milliseconds(50), Start), Start));
   noteReached(Lag, {1, 60});
-  cr_assert(!probablyTrails(Lag, pointOfAge(milliseconds(50), Start), Start));
+  cr_assert(!probablyLags(Lag, pointOfAge(milliseconds(50), Start), Start));
   // Crossed answers: an older one takes nothing back.
   noteReached(Lag, {1, 40});
-  cr_assert(!probablyTrails(Lag, pointOfAge(milliseconds(50), Start), Start));
+  cr_assert(!probablyLags(Lag, pointOfAge(milliseconds(50), Start), Start));
 }
 
 // Guards against asking replicas for a commit that they cannot have yet.
@@ -86,17 +86,17 @@
   unsigned Asked = 0;
   const auto Ask = [&](instant Now) {
     const required_point Required = pointOfAge(milliseconds(2000), Now);
-    if (probablyTrails(Lag, Required, Now))
+    if (probablyLags(Lag, Required, Now))
       return;
     ++Asked;
-    noteTrailing(Lag, Required, Now);
+    noteLagging(Lag, Required, Now);
   };
   for (int Step = 0; Step < 1000; ++Step)
     Ask(Start + milliseconds(10 * Step));
   cr_assert(Asked < 15, "%u", Asked);
   const instant Late = Start + std::chrono::seconds(20);
   const required_point Required = pointOfAge(milliseconds(2000), Late);
-  cr_assert(!probablyTrails(Lag, Required, Late));
+  cr_assert(!probablyLags(Lag, Required, Late));
   noteServed(Lag);
-  cr_assert(!probablyTrails(Lag, Required, Late));
+  cr_assert(!probablyLags(Lag, Required, Late));
 }
--- a/tests/session/session_core_test.cpp
+++ b/tests/session/session_core_test.cpp
@@ -311,5 +311,5 @@
   cr_assert(failedWith(Bench.write(Session), answer_code::Busy));
   cr_assert(Bench.Group.callersOwn().empty());
   cr_assert(Bench.Set.Pools.at("p")->health().Failures == 0);
-  cr_assert(Bench.Troubles.empty());
+  cr_assert(Bench.Problems.empty());
 }
