--- a/packages/redwinggw/src/native_relay.cpp
+++ b/packages/redwinggw/src/native_relay.cpp
@@ -129,8 +129,8 @@
       !session::mayOwn(State.Peers->view(), *Member, Now) ||
       !State.RelayLinks->isUsable(Owner, Now))
     return nullptr;
-  return State.RelayLinks->to({Owner, Member->Address}, Entry.Name,
-                              std::string(Customer), Priority);
+  return State.RelayLinks->linkTo({Owner, Member->Address}, Entry.Name,
+                                  std::string(Customer), Priority);
 }
 
 } // namespace redwinggw
--- a/packages/session/include/redwinggw/session/endpoint_pool.hpp
+++ b/packages/session/include/redwinggw/session/endpoint_pool.hpp
@@ -120,7 +120,7 @@
                              base::customer_name Customer);
 
   /// Takes a connection back. Precondition: no transaction is open on it.
-  void giveBack(link_handle Link);
+  void release(link_handle Link);
 
   /// Closes a connection whose state is not known.
   void discard(link_handle Link);
--- a/packages/session/include/redwinggw/session/forwarding_client.hpp
+++ b/packages/session/include/redwinggw/session/forwarding_client.hpp
@@ -36,10 +36,10 @@
 
   /// A way to \p Endpoint through \p Owner, for a route of \p Priority.
   /// Connects when it is first used.
-  std::unique_ptr<forwarding_link> to(const connection_owner &Owner,
-                                      base::endpoint_name Endpoint,
-                                      base::customer_name Customer,
-                                      unsigned Priority);
+  std::unique_ptr<forwarding_link> linkTo(const connection_owner &Owner,
+                                          base::endpoint_name Endpoint,
+                                          base::customer_name Customer,
+                                          unsigned Priority);
 
   /// Asks the instance \p From for its configuration. One without a row when it
   /// has none newer than \p Row, is handing it on to others, or is lost.
--- a/packages/session/include/redwinggw/session/leased_link.hpp
+++ b/packages/session/include/redwinggw/session/leased_link.hpp
@@ -24,7 +24,7 @@
       Pool->discard(std::move(Link));
   }
 
-  void giveBack() { Pool->giveBack(std::move(Link)); }
+  void release() { Pool->release(std::move(Link)); }
   explicit operator bool() const { return Link != nullptr; }
 
   pool_ptr Pool;
--- a/packages/session/src/endpoint_pool.cpp
+++ b/packages/session/src/endpoint_pool.cpp
@@ -231,7 +231,7 @@
   return Link;
 }
 
-void endpoint_pool::giveBack(link_handle Link) {
+void endpoint_pool::release(link_handle Link) {
   if (Link->Forwarding) {
     --Forwarded;
     return;
--- a/packages/session/src/forwarding_client.cpp
+++ b/packages/session/src/forwarding_client.cpp
@@ -238,9 +238,9 @@
 }
 
 std::unique_ptr<forwarding_link>
-forwarding_client::to(const connection_owner &Owner,
-                      base::endpoint_name Endpoint,
-                      base::customer_name Customer, unsigned Priority) {
+forwarding_client::linkTo(const connection_owner &Owner,
+                          base::endpoint_name Endpoint,
+                          base::customer_name Customer, unsigned Priority) {
   auto &Connections = State->Owners[Owner.Name];
   if (!Connections || Connections->Owner.Address != Owner.Address) {
     // A new process under the name, or the first statement for this owner.
--- a/packages/session/src/serve_forwarded.cpp
+++ b/packages/session/src/serve_forwarded.cpp
@@ -79,7 +79,7 @@
   if (Exchange.Outcome == exchange_outcome::Answered) {
     Pool.noteSuccess(Exchange.SentAt, base::now());
     if (Exchange.Answer.State == transaction_state::Idle)
-      Pinned.Link.giveBack();
+      Pinned.Link.release();
     return;
   }
   // A right that was lost during the set-up is not the endpoint's failure.
--- a/packages/session/src/transaction.cpp
+++ b/packages/session/src/transaction.cpp
@@ -106,7 +106,7 @@
   const exchange Ended =
       co_await runOnEither(*Link.Link, Statement, base::now() + RollbackTime);
   if (isOpened(Ended) && Ended.Answer.State == transaction_state::Idle)
-    Link.giveBack();
+    Link.release();
 }
 
 bool isLost(session_core &Core, const open_transaction &Transaction) {
--- a/packages/session/src/try_statement.cpp
+++ b/packages/session/src/try_statement.cpp
@@ -176,7 +176,7 @@
     noteAnswer(Core, Session, Request, Placement, Exchange);
     const bool Idle = Exchange.Answer.State == transaction_state::Idle;
     if (!Keep && Idle)
-      Placement.Link.giveBack();
+      Placement.Link.release();
     return;
   }
   // The next try does better without an owner that could not help.
--- a/tests/session/endpoint_pool_test.cpp
+++ b/tests/session/endpoint_pool_test.cpp
@@ -37,7 +37,7 @@
     acquired Acquired = co_await Bench.Pool->acquire("acme", Values, End, End);
     Got = Acquired.Link != nullptr;
     if (Got)
-      Bench.Pool->giveBack(std::move(Acquired.Link));
+      Bench.Pool->release(std::move(Acquired.Link));
   }
 }
 
@@ -47,7 +47,7 @@
   acquired Acquired = co_await Bench.Pool->acquire("acme", Values, End, End);
   boost::asio::steady_timer Timer(Bench.Context, Time);
   co_await Timer.async_wait(boost::asio::use_awaitable);
-  Bench.Pool->giveBack(std::move(Acquired.Link));
+  Bench.Pool->release(std::move(Acquired.Link));
 }
 
 } // namespace
--- a/tests/session/forwarding_test.cpp
+++ b/tests/session/forwarding_test.cpp
@@ -42,8 +42,8 @@
             unsigned Priority) -> std::unique_ptr<forwarding_link> {
       if (!Via->isUsable("owner", base::now()))
         return nullptr;
-      return Via->to({"owner", Address}, Entry.Name, std::string(Customer),
-                     Priority);
+      return Via->linkTo({"owner", Address}, Entry.Name, std::string(Customer),
+                         Priority);
     };
   }
 
