--- a/packages/session/include/redwinggw/session/counted_operation.hpp
+++ b/packages/session/include/redwinggw/session/counted_operation.hpp
@@ -33,8 +33,8 @@
 
   /// \p Ran: an endpoint has run it, or may have.
   void settle(bool Ran) {
-    if (const settle_port *Told = std::exchange(Port, nullptr))
-      (*Told)(Customer, Ran);
+    if (const settle_port *Settle = std::exchange(Port, nullptr))
+      (*Settle)(Customer, Ran);
   }
 
 private:
--- a/packages/session/src/endpoint_pool.cpp
+++ b/packages/session/src/endpoint_pool.cpp
@@ -275,9 +275,9 @@
 }
 
 std::size_t endpoint_pool::load(instant Now) const {
-  const std::size_t Own = Slots.Running + waiting() + Forwarded;
-  const bool Told = OwnerLoadAt && Now - *OwnerLoadAt < OwnerLoadValidFor;
-  return Told ? std::max(Own, OwnerLoad) : Own;
+  const std::size_t LocalLoad = Slots.Running + waiting() + Forwarded;
+  const bool Reported = OwnerLoadAt && Now - *OwnerLoadAt < OwnerLoadValidFor;
+  return Reported ? std::max(LocalLoad, OwnerLoad) : LocalLoad;
 }
 
 void endpoint_pool::noteSuccess(instant SentAt, instant Now) {
--- a/packages/session/src/transaction.cpp
+++ b/packages/session/src/transaction.cpp
@@ -30,7 +30,7 @@
                                     std::move(Statement));
 }
 
-bool isOpened(const exchange &Exchange) {
+bool isSuccess(const exchange &Exchange) {
   return Exchange.Outcome == exchange_outcome::Answered &&
          !Exchange.Answer.Error;
 }
@@ -51,7 +51,7 @@
     ++Request.Tries;
     const exchange Begun = co_await beginOn(Core, Session, Request, *Placement,
                                             Transaction.ReadOnly);
-    const bool Opened = isOpened(Begun);
+    const bool Opened = isSuccess(Begun);
     Request.LastProblem =
         Placement->Link.Pool->entry().Name + " did not begin the transaction";
     settle(Core, Session, Request, *Placement, Begun, Opened);
@@ -87,9 +87,9 @@
   Transaction.Link = std::move(Placement.Link.Link);
 }
 
-base::task<exchange> runOnEither(pooled_link &Link,
-                                 const link_statement &Statement,
-                                 base::instant Deadline) {
+base::task<exchange> runOnAnyLink(pooled_link &Link,
+                                  const link_statement &Statement,
+                                  base::instant Deadline) {
   if (!Link.Forwarding)
     co_return co_await runOnLink(Link, Statement, {}, Deadline);
   forwarding_reply Reply =
@@ -104,8 +104,8 @@
   link_statement Statement;
   Statement.Action = link_action::Rollback;
   const exchange Ended =
-      co_await runOnEither(*Link.Link, Statement, base::now() + RollbackTime);
-  if (isOpened(Ended) && Ended.Answer.State == transaction_state::Idle)
+      co_await runOnAnyLink(*Link.Link, Statement, base::now() + RollbackTime);
+  if (isSuccess(Ended) && Ended.Answer.State == transaction_state::Idle)
     Link.release();
 }
 
--- a/packages/session/src/try_statement.cpp
+++ b/packages/session/src/try_statement.cpp
@@ -192,8 +192,9 @@
 bool mayRetry(const session_core &Core, const request &Request,
               const placement &Last) {
   const instant Now = base::now();
-  const bool Crowded = Last.Failure == forwarding_failure::NoConnection;
-  return Now < (Crowded ? patienceDeadline(Core, Request) : Request.Deadline);
+  const bool GotNoConnection = Last.Failure == forwarding_failure::NoConnection;
+  return Now <
+         (GotNoConnection ? patienceDeadline(Core, Request) : Request.Deadline);
 }
 
 answer makeError(answer_error Error) {
--- a/tests/platform/decoding_test.cpp
+++ b/tests/platform/decoding_test.cpp
@@ -34,7 +34,7 @@
 
 // Another writer leaves nonsense among the entries: it names no database, and
 // must not hide those that do.
-Test(decoding, passes_over_what_is_no_entry) {
+Test(decoding, ignores_invalid_entries) {
   cr_assert(!readEntry("x", ""));
   cr_assert(!readEntry("x", "[1,2]"));
   cr_assert(!readEntry("x", "\xff\xfe"));
@@ -68,7 +68,7 @@
   cr_assert(Table->TransactionIdle == base::milliseconds(2500));
 }
 
-Test(decoding, refuses_a_broken_configuration_whole) {
+Test(decoding, refuses_a_malformed_configuration) {
   cr_assert(!readConfiguration("{}"));
   cr_assert(!readConfiguration(R"({"version":"seven"})"));
   cr_assert(!readConfiguration("not json"));
--- a/tests/session/configuration_transfer_test.cpp
+++ b/tests/session/configuration_transfer_test.cpp
@@ -22,9 +22,9 @@
 /// Two instances over real connections, in one loop.
 struct configuration_pair {
   configuration_pair()
-      : Holder(Context, Group), Asker(Context, Group),
+      : Holder(Context, Group), Requester(Context, Group),
         Server(Context.get_executor(), Holder.Core, Secret),
-        Links(Context.get_executor(), Asker.Set.Watch, Secret) {
+        Links(Context.get_executor(), Requester.Set.Watch, Secret) {
     Address = Server.listen({"127.0.0.1", 0}).value();
     Server.serveConfigurationFrom([this] { return Held; });
   }
@@ -33,23 +33,23 @@
     Context.poll();
   }
 
-  base::task<void> askOnce(std::uint64_t Row) {
+  base::task<void> fetchOnce(std::uint64_t Row) {
     const connection_owner From{"holder", Address};
     Answers.push_back(co_await Links.fetchConfiguration(From, Row));
   }
 
   /// Asks so many times at once and waits for all answers.
-  void ask(std::uint64_t Row, std::size_t Times = 1) {
+  void fetch(std::uint64_t Row, std::size_t Times = 1) {
     for (std::size_t Count = 0; Count < Times; ++Count)
-      boost::asio::co_spawn(Context, askOnce(Row), boost::asio::detached);
+      boost::asio::co_spawn(Context, fetchOnce(Row), boost::asio::detached);
     while (Answers.size() < Times)
       Context.run_one();
   }
 
   boost::asio::io_context Context;
   fake_group Group;
-  bench_core Holder;
-  bench_core Asker;
+  core_fixture Holder;
+  core_fixture Requester;
   forwarding_server Server;
   forwarding_client Links;
   http::address Address;
@@ -60,46 +60,47 @@
 } // namespace
 
 // Guards against a largest size of what instances can hand on.
-Test(configuration_transfer, hands_on_a_configuration_of_any_size) {
+Test(configuration_transfer, sends_a_configuration_of_any_size) {
   configuration_pair Pair;
   Pair.Held = largeConfiguration(9);
-  Pair.ask(5);
+  Pair.fetch(5);
   cr_assert(Pair.Answers[0].Row == 9);
   cr_assert(*Pair.Answers[0].Text == *Pair.Held.Text);
 }
 
-Test(configuration_transfer, hands_on_nothing_that_is_not_newer) {
+Test(configuration_transfer, sends_nothing_that_is_not_newer) {
   configuration_pair Pair;
-  Pair.ask(0);
+  Pair.fetch(0);
   cr_assert(Pair.Answers[0].Row == 0);
   Pair.Answers.clear();
   Pair.Held = largeConfiguration(9);
-  Pair.ask(9);
+  Pair.fetch(9);
   cr_assert(Pair.Answers[0].Row == 0);
 }
 
 // Guards against a link that all others' requests fill at once.
-Test(configuration_transfer, turns_down_more_than_it_can_send_at_a_time) {
+Test(configuration_transfer,
+     refuses_more_transfers_than_it_can_send_at_a_time) {
   configuration_pair Pair;
   Pair.Held = largeConfiguration(9);
-  constexpr std::size_t Askers = 10;
-  Pair.ask(5, Askers);
+  constexpr std::size_t Requesters = 10;
+  Pair.fetch(5, Requesters);
   const auto Served = std::ranges::count(Pair.Answers, std::uint64_t{9},
                                          &stored_configuration::Row);
   cr_assert(Served >= 1);
   Pair.Answers.clear();
-  Pair.ask(5);
+  Pair.fetch(5);
   cr_assert(Pair.Answers[0].Row == 9);
 }
 
 // Guards against a text made of two configurations.
-Test(configuration_transfer, takes_no_parts_of_two_configurations) {
+Test(configuration_transfer, rejects_chunks_of_two_configurations) {
   configuration_assembly Assembly;
   cr_assert(appendChunk(Assembly, {9, "begin", false}));
   cr_assert(!appendChunk(Assembly, {10, "end", true}));
 }
 
-Test(configuration_transfer, messages_come_back_as_they_were) {
+Test(configuration_transfer, messages_survive_encoding) {
   const configuration_request Request{300};
   const std::string Asked = encodeConfigurationRequest(Secret, Request);
   const auto Again = decodeConfigurationRequest(Secret, Asked);
--- a/tests/session/directory_test.cpp
+++ b/tests/session/directory_test.cpp
@@ -35,7 +35,7 @@
 // The list could not be read for seconds, and entries lapsed meanwhile. The
 // endpoints live: taking them for gone would stop all service at the store's
 // return. One that stays missing is gone.
-Test(directory, keeps_lapsed_entries_for_a_while_after_an_outage) {
+Test(directory, keeps_expired_entries_for_a_while_after_an_outage) {
   directory Directory;
   updateDirectory(Directory, {entry("a"), entry("b")}, Start);
   const instant Back = Start + milliseconds(6000);
@@ -50,7 +50,7 @@
 
 // A database starts again under its name: it knows nothing of before, so its
 // connections are void.
-Test(directory, tells_a_restarted_endpoint) {
+Test(directory, recognizes_a_restarted_endpoint) {
   directory Directory;
   updateDirectory(Directory, {entry("a", 1)}, Start);
   const auto Changes =
@@ -61,7 +61,7 @@
 // A replica announces that it leaves while the other one trails and the primary
 // is dark: reads went on to it as the last resort, past the time after which it
 // may get none, and would have been cut off at its end.
-Test(directory, gives_a_leaving_endpoint_no_work_after_a_while) {
+Test(directory, gives_a_draining_endpoint_no_work_after_a_while) {
   directory Directory;
   endpoint_entry Entry = entry("a");
   updateDirectory(Directory, {Entry}, Start);
--- a/tests/session/endpoint_choice_test.cpp
+++ b/tests/session/endpoint_choice_test.cpp
@@ -36,7 +36,7 @@
   cr_assert(best({candidate("p", true), Loaded}) == "p");
 }
 
-Test(endpoint_choice, goes_where_a_connection_is_and_the_zone_is_near) {
+Test(endpoint_choice, prefers_an_idle_connection_and_the_own_zone) {
   choice_candidate Cold = candidate("cold");
   Cold.HasIdle = false;
   choice_candidate Far = candidate("far");
@@ -47,7 +47,7 @@
 
 // An endpoint fails: it is passed over, for longer with each failure, but
 // stays a last resort, since it may be the only one.
-Test(endpoint_choice, passes_over_a_failing_endpoint_for_a_while) {
+Test(endpoint_choice, avoids_a_failing_endpoint_for_a_while) {
   choice_candidate Failing = candidate("failing");
   Failing.Failures = 2;
   Failing.LastFailure = Now - milliseconds(150);
@@ -60,11 +60,11 @@
   cr_assert(best({Failing}) == "failing");
 }
 
-Test(endpoint_choice, avoids_a_replica_that_probably_trails) {
-  choice_candidate Trailing = candidate("trailing");
-  Trailing.ProbablyLags = true;
-  cr_assert(best({Trailing, candidate("r")}) == "r");
+Test(endpoint_choice, avoids_a_replica_that_probably_lags) {
+  choice_candidate Lagging = candidate("trailing");
+  Lagging.ProbablyLags = true;
+  cr_assert(best({Lagging, candidate("r")}) == "r");
   choice_candidate Leaving = candidate("leaving");
   Leaving.Draining = true;
-  cr_assert(best({Leaving, Trailing}) == "trailing");
+  cr_assert(best({Leaving, Lagging}) == "trailing");
 }
--- a/tests/session/endpoint_owner_test.cpp
+++ b/tests/session/endpoint_owner_test.cpp
@@ -29,8 +29,8 @@
 }
 
 /// Instances that exchange heartbeats in passed time.
-struct talking_fleet {
-  talking_fleet(std::size_t Count, std::size_t DirectLimit) {
+struct heartbeat_fleet {
+  heartbeat_fleet(std::size_t Count, std::size_t DirectLimit) {
     control::membership_limits Limits;
     Limits.DirectLimit = DirectLimit;
     std::vector<storage::listed_instance> Listed(Count);
@@ -118,7 +118,7 @@
 
 // An instance is replaced. Were all endpoints divided anew, nearly every
 // connection in the fleet would be set up again at that moment.
-Test(endpoint_owner, changes_only_for_the_endpoints_of_one_that_goes) {
+Test(endpoint_owner, changes_only_for_endpoints_of_a_removed_instance) {
   const auto Before = fleet(12, 4);
   auto After = Before;
   const base::instance_name Gone = After[5].Name;
@@ -143,8 +143,8 @@
 }
 
 // An instance dies. Within a second nobody passes statements on to it.
-Test(endpoint_owner, passes_over_an_instance_that_is_not_heard) {
-  talking_fleet Fleet(6, 16);
+Test(endpoint_owner, skips_an_instance_without_heartbeats) {
+  heartbeat_fleet Fleet(6, 16);
   Fleet.run(base::milliseconds(2000));
   const control::membership &First = Fleet.Members.front();
   cr_assert(ownersAmong(First, Fleet.Now).size() == 5);
@@ -155,7 +155,7 @@
 
 // Guards against many owners of an endpoint where few are heard directly.
 Test(endpoint_owner, agrees_in_a_fleet_with_relays) {
-  talking_fleet Fleet(60, 16);
+  heartbeat_fleet Fleet(60, 16);
   Fleet.run(base::milliseconds(20'000));
   cr_assert(Fleet.disputed(20) == 0, "%zu", Fleet.disputed(20));
 }
--- a/tests/session/endpoint_pool_test.cpp
+++ b/tests/session/endpoint_pool_test.cpp
@@ -14,8 +14,8 @@
 
 namespace {
 
-struct bench_pool {
-  bench_pool()
+struct pool_fixture {
+  pool_fixture()
       : Watch(Context.get_executor()),
         Pool(std::make_shared<endpoint_pool>(
             Context.get_executor(), Watch,
@@ -29,25 +29,26 @@
 };
 
 /// Asks for a connection, again and again for \p Patience as callers do.
-base::task<void> acquireWithin(bench_pool &Bench, milliseconds Patience,
+base::task<void> acquireWithin(pool_fixture &Fixture, milliseconds Patience,
                                bool &Got) {
   const base::instant End = base::now() + Patience;
   const session_values Values;
   for (int Try = 0; Try < 5 && !Got && base::now() < End; ++Try) {
-    acquired Acquired = co_await Bench.Pool->acquire("acme", Values, End, End);
+    acquired Acquired =
+        co_await Fixture.Pool->acquire("acme", Values, End, End);
     Got = Acquired.Link != nullptr;
     if (Got)
-      Bench.Pool->release(std::move(Acquired.Link));
+      Fixture.Pool->release(std::move(Acquired.Link));
   }
 }
 
-base::task<void> holdFor(bench_pool &Bench, milliseconds Time) {
+base::task<void> holdFor(pool_fixture &Fixture, milliseconds Time) {
   const base::instant End = base::now() + milliseconds(5000);
   const session_values Values;
-  acquired Acquired = co_await Bench.Pool->acquire("acme", Values, End, End);
-  boost::asio::steady_timer Timer(Bench.Context, Time);
+  acquired Acquired = co_await Fixture.Pool->acquire("acme", Values, End, End);
+  boost::asio::steady_timer Timer(Fixture.Context, Time);
   co_await Timer.async_wait(boost::asio::use_awaitable);
-  Bench.Pool->release(std::move(Acquired.Link));
+  Fixture.Pool->release(std::move(Acquired.Link));
 }
 
 } // namespace
@@ -58,39 +59,39 @@
 // refused within two milliseconds, and so was the caller, though the
 // connection was free a moment later.
 Test(endpoint_pool, waits_for_its_own_connection_when_the_endpoint_is_full) {
-  bench_pool Bench;
-  Bench.Group.MaxConnections = 1;
+  pool_fixture Fixture;
+  Fixture.Group.MaxConnections = 1;
   bool Got = false;
-  boost::asio::co_spawn(Bench.Context, holdFor(Bench, milliseconds(30)),
+  boost::asio::co_spawn(Fixture.Context, holdFor(Fixture, milliseconds(30)),
                         boost::asio::detached);
-  boost::asio::co_spawn(Bench.Context,
-                        acquireWithin(Bench, milliseconds(2000), Got),
+  boost::asio::co_spawn(Fixture.Context,
+                        acquireWithin(Fixture, milliseconds(2000), Got),
                         boost::asio::detached);
-  Bench.Context.run();
+  Fixture.Context.run();
   cr_assert(Got);
-  cr_assert(Bench.Group.Refusals <= 1);
+  cr_assert(Fixture.Group.Refusals <= 1);
 }
 
 // An instance that owned nearly all connections of an endpoint loses its power.
 // The endpoint counts them for three more seconds, and the next owner's callers
 // find none. So what was opened for a peak is closed soon after it.
 Test(endpoint_pool, keeps_few_connections_when_the_peak_is_over) {
-  bench_pool Bench;
+  pool_fixture Fixture;
   pool_limits Limits;
   Limits.Connections = 8;
   Limits.MaxConnections = 8;
   Limits.KeptConnections = 3;
-  Bench.Pool->setLimits(Limits);
+  Fixture.Pool->setLimits(Limits);
   for (int Count = 0; Count < 8; ++Count)
-    boost::asio::co_spawn(Bench.Context, holdFor(Bench, milliseconds(5)),
+    boost::asio::co_spawn(Fixture.Context, holdFor(Fixture, milliseconds(5)),
                           boost::asio::detached);
-  Bench.Context.run();
-  cr_assert(Bench.Pool->open() == 8);
+  Fixture.Context.run();
+  cr_assert(Fixture.Pool->open() == 8);
   const base::instant Now = base::now();
-  Bench.Pool->closeUnused(Now + Limits.UnneededIdleTime / 2);
-  cr_assert(Bench.Pool->open() == 8);
-  Bench.Pool->closeUnused(Now + 2 * Limits.UnneededIdleTime);
-  cr_assert(Bench.Pool->open() == 3);
-  Bench.Pool->closeUnused(Now + 2 * Limits.IdleTime);
-  cr_assert(Bench.Pool->open() == 0);
+  Fixture.Pool->closeUnused(Now + Limits.UnneededIdleTime / 2);
+  cr_assert(Fixture.Pool->open() == 8);
+  Fixture.Pool->closeUnused(Now + 2 * Limits.UnneededIdleTime);
+  cr_assert(Fixture.Pool->open() == 3);
+  Fixture.Pool->closeUnused(Now + 2 * Limits.IdleTime);
+  cr_assert(Fixture.Pool->open() == 0);
 }
--- a/tests/session/fake_endpoint.hpp
+++ b/tests/session/fake_endpoint.hpp
@@ -17,7 +17,7 @@
 namespace redwinggw::session::testing {
 
 /// One statement as an endpoint saw it.
-struct seen_statement {
+struct received_statement {
   std::string Endpoint;
   std::string Customer;
   std::string Id;
@@ -28,8 +28,8 @@
 
 struct fake_group {
   /// Answers the next statements; afterwards all succeed.
-  std::function<std::optional<exchange>(const seen_statement &)> Script;
-  std::vector<seen_statement> Seen;
+  std::function<std::optional<exchange>(const received_statement &)> Script;
+  std::vector<received_statement> Received;
   /// The endpoint takes no connection above so many.
   std::size_t MaxConnections = SIZE_MAX;
   std::size_t Connected = 0;
@@ -37,9 +37,9 @@
   log_point Point{1, 100};
   std::size_t Connections = 0;
 
-  std::vector<seen_statement> callersOwn() const {
-    std::vector<seen_statement> Found;
-    for (const seen_statement &Statement : Seen)
+  std::vector<received_statement> callerStatements() const {
+    std::vector<received_statement> Found;
+    for (const received_statement &Statement : Received)
       if (!Statement.Id.empty())
         Found.push_back(Statement);
     return Found;
@@ -93,9 +93,9 @@
   base::task<exchange> run(std::string_view Id, std::string_view Text,
                            std::optional<log_point> After,
                            base::instant) override {
-    seen_statement Statement{Endpoint,          Customer, std::string(Id),
-                             std::string(Text), After,    Number};
-    Group.Seen.push_back(Statement);
+    received_statement Statement{Endpoint,          Customer, std::string(Id),
+                                 std::string(Text), After,    Number};
+    Group.Received.push_back(Statement);
     if (Group.Script)
       if (auto Scripted = Group.Script(Statement)) {
         Usable = Scripted->Outcome == exchange_outcome::Answered;
@@ -143,11 +143,11 @@
 };
 
 /// A core before one service "s" with the endpoints p (primary), r1 and r2.
-struct bench_core {
-  bench_core() : bench_core(OwnContext, OwnGroup) {}
+struct core_fixture {
+  core_fixture() : core_fixture(OwnContext, OwnGroup) {}
 
   /// A core that shares its loop and its endpoints with others.
-  bench_core(boost::asio::io_context &Context, fake_group &Group)
+  core_fixture(boost::asio::io_context &Context, fake_group &Group)
       : Context(Context), Group(Group),
         Set(Context.get_executor(), "z1",
             [&Group] { return std::make_unique<fake_link>(Group); }),
@@ -225,7 +225,7 @@
     std::optional<answer> Answer;
     boost::asio::co_spawn(
         Context,
-        [](bench_core &Self, caller_session &Session, statement Statement,
+        [](core_fixture &Self, caller_session &Session, statement Statement,
            std::optional<answer> &Answer) -> base::task<void> {
           Answer = co_await serve(Self.Core, Session, std::move(Statement),
                                   base::now());
--- a/tests/session/forwarding_codec_test.cpp
+++ b/tests/session/forwarding_codec_test.cpp
@@ -44,7 +44,7 @@
 
 } // namespace
 
-Test(forwarding_codec, keeps_a_request) {
+Test(forwarding_codec, round_trips_a_request) {
   const auto Read = decodeRequest(Secret, encodeRequest(Secret, fullRequest()));
   cr_assert(Read);
   const link_statement &Statement = Read->Statement;
@@ -59,7 +59,7 @@
   cr_assert(Read->Patience == base::milliseconds(30));
 }
 
-Test(forwarding_codec, keeps_a_reply) {
+Test(forwarding_codec, round_trips_a_reply) {
   const auto Read = decodeReply(Secret, encodeReply(Secret, fullReply()));
   cr_assert(Read && Read->Load == 700);
   const answer &Answer = Read->Exchange.Answer;
@@ -69,7 +69,7 @@
   cr_assert(Answer.Point == log_point({3, 300}));
 }
 
-Test(forwarding_codec, keeps_an_error) {
+Test(forwarding_codec, round_trips_an_error) {
   forwarding_reply Reply;
   Reply.Exchange.Outcome = exchange_outcome::Answered;
   Reply.Exchange.Answer.Error = answer_error{answer_code::TooLarge, "a reason"};
@@ -85,7 +85,7 @@
   cr_assert(!decodeReply("guessed", encodeReply(Secret, fullReply())));
 }
 
-Test(forwarding_codec, refuses_what_was_cut_or_changed) {
+Test(forwarding_codec, refuses_truncated_or_changed_bytes) {
   const std::string Bytes = encodeRequest(Secret, fullRequest());
   for (std::size_t Length = 0; Length < Bytes.size(); ++Length)
     cr_assert(!decodeRequest(Secret, Bytes.substr(0, Length)));
@@ -98,7 +98,7 @@
 
 // An instance of another version signs rightly but speaks otherwise: whatever
 // its bytes say, reading them must end, in bounded memory.
-Test(forwarding_codec, survives_signed_nonsense) {
+Test(forwarding_codec, survives_signed_garbage) {
   std::mt19937 Random(4711);
   const std::string SignedRequest = encodeRequest(Secret, fullRequest());
   const std::string SignedReply = encodeReply(Secret, fullReply());
--- a/tests/session/forwarding_test.cpp
+++ b/tests/session/forwarding_test.cpp
@@ -33,7 +33,7 @@
   }
 
   void add() {
-    bench_core &Instance = Instances.emplace_back(Context, Group);
+    core_fixture &Instance = Instances.emplace_back(Context, Group);
     Links.push_back(std::make_unique<forwarding_client>(
         Context.get_executor(), Instance.Set.Watch, std::string(Secret)));
     Instance.Core.Ports.Forward =
@@ -47,7 +47,7 @@
     };
   }
 
-  bench_core &first() { return Instances.front(); }
+  core_fixture &first() { return Instances.front(); }
 
   /// Takes a turn on the slots. Precondition: one is free.
   slot_grant take(const pool_ptr &Pool) {
@@ -66,10 +66,10 @@
 
   boost::asio::io_context Context;
   fake_group Group;
-  bench_core Owner;
+  core_fixture Owner;
   forwarding_server Server;
   http::address Address;
-  std::deque<bench_core> Instances;
+  std::deque<core_fixture> Instances;
   std::deque<std::unique_ptr<forwarding_client>> Links;
 };
 
@@ -79,7 +79,7 @@
 
 std::size_t connectionsOf(const fake_group &Group) {
   std::set<std::size_t> Numbers;
-  for (const seen_statement &Statement : Group.Seen)
+  for (const received_statement &Statement : Group.Received)
     Numbers.insert(Statement.Connection);
   return Numbers.size();
 }
@@ -93,15 +93,15 @@
   forwarding_fleet Fleet(9);
   constexpr std::size_t Rounds = 20;
   for (std::size_t Round = 0; Round < Rounds; ++Round)
-    for (bench_core &Instance : Fleet.Instances)
+    for (core_fixture &Instance : Fleet.Instances)
       for (const char *Key : {"key", "key2"}) {
         caller_session Session = Instance.open("own", Key);
         cr_assert(!Instance.write(Session).Error);
         cr_assert(!Instance.read(Session).Error);
       }
-  cr_assert(Fleet.Group.callersOwn().size() == 36 * Rounds);
+  cr_assert(Fleet.Group.callerStatements().size() == 36 * Rounds);
   cr_assert(Fleet.Group.Connections <= 6);
-  for (const seen_statement &Statement : Fleet.Group.Seen)
+  for (const received_statement &Statement : Fleet.Group.Received)
     cr_assert(Statement.Customer == "acme" || Statement.Customer == "bolt");
 }
 
@@ -109,7 +109,7 @@
 // and another session's never show.
 Test(forwarding, sets_up_the_session_where_the_connection_is) {
   forwarding_fleet Fleet;
-  bench_core &Instance = Fleet.first();
+  core_fixture &Instance = Fleet.first();
   caller_session First = Instance.open("strict");
   caller_session Second = Instance.open("strict");
   Instance.run(First, statement_kind::Set, "SET a 1", "a", "1");
@@ -121,8 +121,8 @@
       !Instance.run(First, statement_kind::Execute, "EXECUTE s 1", "s", "1")
            .Error);
   std::vector<std::string> Texts;
-  std::ranges::transform(Fleet.Group.Seen, std::back_inserter(Texts),
-                         &seen_statement::Text);
+  std::ranges::transform(Fleet.Group.Received, std::back_inserter(Texts),
+                         &received_statement::Text);
   cr_assert(Texts == std::vector<std::string>(
                          {"SET a 1", "READ x", "RESET", "READ x", "SET a 1",
                           "PREPARE p1 READ q", "EXECUTE p1 1"}));
@@ -130,8 +130,8 @@
 
 Test(forwarding, keeps_a_transaction_on_one_connection) {
   forwarding_fleet Fleet(2);
-  bench_core &Instance = Fleet.first();
-  bench_core &Other = Fleet.Instances.back();
+  core_fixture &Instance = Fleet.first();
+  core_fixture &Other = Fleet.Instances.back();
   caller_session Session = Instance.open("own");
   caller_session Beside = Other.open("own");
   Instance.run(Session, statement_kind::Begin, "BEGIN");
@@ -142,7 +142,7 @@
   cr_assert(!Done.Error && Done.Signature == "proof");
   std::vector<std::size_t> Own;
   std::vector<std::size_t> Others;
-  for (const seen_statement &Statement : Fleet.Group.Seen)
+  for (const received_statement &Statement : Fleet.Group.Received)
     (Statement.Text == "WRITE x 1" && Own.size() > 1 && Others.empty() ? Others
                                                                        : Own)
         .push_back(Statement.Connection);
@@ -155,55 +155,57 @@
 // A user pays. The owner passes the payment on and dies before its answer is
 // there: the payment may have run. It must not be sent again, by another way
 // either, nor be called "not run".
-Test(forwarding, never_repeats_a_write_whose_owner_went) {
+Test(forwarding, never_retries_a_write_whose_owner_died) {
   forwarding_fleet Fleet;
-  bench_core &Instance = Fleet.first();
-  Fleet.Group.Script = [&](const seen_statement &) -> std::optional<exchange> {
+  core_fixture &Instance = Fleet.first();
+  Fleet.Group.Script =
+      [&](const received_statement &) -> std::optional<exchange> {
     Fleet.Server.stop();
     return std::nullopt;
   };
   caller_session Session = Instance.open("strict");
   cr_assert(failedWith(Instance.write(Session), answer_code::InDoubt));
-  cr_assert(Fleet.Group.callersOwn().size() == 1);
+  cr_assert(Fleet.Group.callerStatements().size() == 1);
 }
 
 // The same for a read: its caller sees nothing of it.
-Test(forwarding, repeats_a_read_whose_owner_went) {
+Test(forwarding, retries_a_read_whose_owner_died) {
   forwarding_fleet Fleet;
-  bench_core &Instance = Fleet.first();
+  core_fixture &Instance = Fleet.first();
   caller_session Session = Instance.open("strict");
   bool Stopped = false;
-  Fleet.Group.Script = [&](const seen_statement &) -> std::optional<exchange> {
+  Fleet.Group.Script =
+      [&](const received_statement &) -> std::optional<exchange> {
     if (!std::exchange(Stopped, true))
       Fleet.Server.stop();
     return std::nullopt;
   };
   cr_assert(!Instance.read(Session).Error);
-  cr_assert(Fleet.Group.callersOwn().size() == 2);
+  cr_assert(Fleet.Group.callerStatements().size() == 2);
 }
 
 // The owner was stopped, and the list does not tell yet. A write that could
 // not be handed over has not run: the caller's instance goes to the endpoint
 // itself.
-Test(forwarding, goes_to_the_endpoint_itself_when_the_owner_is_gone) {
+Test(forwarding, connects_directly_when_the_owner_is_gone) {
   forwarding_fleet Fleet;
-  bench_core &Instance = Fleet.first();
+  core_fixture &Instance = Fleet.first();
   Fleet.Server.stop();
   caller_session Session = Instance.open("strict");
   cr_assert(!Instance.write(Session).Error);
-  cr_assert(Fleet.Group.callersOwn().size() == 1);
+  cr_assert(Fleet.Group.callerStatements().size() == 1);
   cr_assert(!Fleet.Links.front()->isUsable("owner", base::now()));
 }
 
 // A write waits at the owner while the primary is replaced, and the owner knows
 // already: it must not reach the old primary any more.
-Test(forwarding, does_not_send_to_a_primary_that_the_owner_knows_replaced) {
+Test(forwarding, does_not_send_to_a_primary_that_the_owner_knows_is_replaced) {
   forwarding_fleet Fleet;
-  bench_core &Instance = Fleet.first();
+  core_fixture &Instance = Fleet.first();
   Fleet.Owner.PrimaryLease = primary_lease{"s", "r1", 2};
   caller_session Session = Instance.open("strict");
   Instance.write(Session);
-  for (const seen_statement &Statement : Fleet.Group.callersOwn())
+  for (const received_statement &Statement : Fleet.Group.callerStatements())
     cr_assert(Statement.Connection != 0);
   cr_assert(Fleet.Owner.Set.Pools.at("p")->connects() == 0);
 }
@@ -212,8 +214,9 @@
 // the answer; the caller's instance must not pass it on as a success.
 Test(forwarding, does_not_acknowledge_a_write_of_a_replaced_primary) {
   forwarding_fleet Fleet;
-  bench_core &Instance = Fleet.first();
-  Fleet.Group.Script = [&](const seen_statement &) -> std::optional<exchange> {
+  core_fixture &Instance = Fleet.first();
+  Fleet.Group.Script =
+      [&](const received_statement &) -> std::optional<exchange> {
     Instance.PrimaryLease = primary_lease{"s", "r1", 2};
     return std::nullopt;
   };
@@ -223,26 +226,26 @@
 
 // An instance dies with a transaction open. Its connection at the owner is
 // closed, which rolls back, and is never given to another session.
-Test(forwarding, rolls_back_for_an_instance_that_went) {
+Test(forwarding, rolls_back_for_an_instance_that_died) {
   forwarding_fleet Fleet(2);
   caller_session Left = Fleet.first().open("strict");
   Fleet.first().run(Left, statement_kind::Begin, "BEGIN");
   cr_assert(!Fleet.first().write(Left).Error);
-  const std::size_t Abandoned = Fleet.Group.Seen.back().Connection;
+  const std::size_t Abandoned = Fleet.Group.Received.back().Connection;
   cr_assert(Fleet.Server.pinnedLinks() == 1);
   Left.Transaction.reset();
   while (Fleet.Server.pinnedLinks() != 0)
     Fleet.Context.run_one();
-  bench_core &Other = Fleet.Instances.back();
+  core_fixture &Other = Fleet.Instances.back();
   caller_session Session = Other.open("strict");
   cr_assert(!Other.write(Session).Error);
-  cr_assert(Fleet.Group.Seen.back().Connection != Abandoned);
+  cr_assert(Fleet.Group.Received.back().Connection != Abandoned);
   cr_assert(connectionsOf(Fleet.Group) == 2);
 }
 
-Test(forwarding, gives_the_connection_back_after_a_rollback) {
+Test(forwarding, returns_the_connection_after_a_rollback) {
   forwarding_fleet Fleet;
-  bench_core &Instance = Fleet.first();
+  core_fixture &Instance = Fleet.first();
   caller_session Session = Instance.open("strict");
   for (unsigned Round = 0; Round < 3; ++Round) {
     Instance.run(Session, statement_kind::Begin, "BEGIN");
@@ -259,11 +262,11 @@
 // for that way, and ran the next statement on it, of another customer.
 Test(forwarding, ends_a_transaction_that_gets_no_slot) {
   forwarding_fleet Fleet;
-  bench_core &Instance = Fleet.first();
+  core_fixture &Instance = Fleet.first();
   caller_session Session = Instance.open("strict");
   Instance.run(Session, statement_kind::Begin, "BEGIN");
   cr_assert(!Instance.write(Session).Error);
-  const std::size_t Former = Fleet.Group.Seen.back().Connection;
+  const std::size_t Former = Fleet.Group.Received.back().Connection;
   const pool_ptr Pool = Fleet.Owner.Set.Pools.at("p");
   constexpr unsigned AllSlots = 6;
   std::vector<slot_grant> Taken;
@@ -275,7 +278,7 @@
   Taken.clear();
   caller_session Other = Instance.open("strict", "key2");
   cr_assert(!Instance.write(Other).Error);
-  const seen_statement &Last = Fleet.Group.Seen.back();
+  const received_statement &Last = Fleet.Group.Received.back();
   cr_assert(Last.Customer == "bolt" && Last.Connection != Former);
 }
 
@@ -283,7 +286,7 @@
 // and it has not read the configuration yet.
 Test(forwarding, serves_transactions_before_the_owner_has_a_configuration) {
   forwarding_fleet Fleet;
-  bench_core &Instance = Fleet.first();
+  core_fixture &Instance = Fleet.first();
   Fleet.Owner.Routes = nullptr;
   caller_session Session = Instance.open("strict");
   Instance.run(Session, statement_kind::Begin, "BEGIN");
@@ -295,16 +298,17 @@
 // Guards against avoiding an endpoint for what its owner learned meanwhile.
 Test(forwarding, does_not_blame_an_endpoint_for_a_lease_that_the_owner_lost) {
   forwarding_fleet Fleet;
-  bench_core &Instance = Fleet.first();
+  core_fixture &Instance = Fleet.first();
   caller_session Session = Instance.open("strict");
   Instance.run(Session, statement_kind::Set, "SET a 1", "a", "1");
-  Fleet.Group.Script = [&](const seen_statement &) -> std::optional<exchange> {
+  Fleet.Group.Script =
+      [&](const received_statement &) -> std::optional<exchange> {
     Fleet.Owner.PrimaryLease.reset();
     Instance.PrimaryLease.reset();
     return std::nullopt;
   };
   cr_assert(failedWith(Instance.write(Session), answer_code::Busy));
-  cr_assert(Fleet.Group.callersOwn().empty());
+  cr_assert(Fleet.Group.callerStatements().empty());
   cr_assert(Fleet.Owner.Set.Pools.at("p")->health().Failures == 0);
   cr_assert(Instance.Set.Pools.at("p")->health().Failures == 0);
 }
--- a/tests/session/freshness_test.cpp
+++ b/tests/session/freshness_test.cpp
@@ -43,7 +43,7 @@
 
 // Nothing was heard of the primary for longer than the bound: what it has
 // acknowledged since is not known, so no replica may serve.
-Test(freshness, has_no_answer_without_a_young_sample) {
+Test(freshness, has_no_point_without_a_recent_sample) {
   const freshness Freshness = threeSamples();
   cr_assert(!requiredPoint(Freshness, milliseconds(1500),
                            Start + milliseconds(4000)));
@@ -52,7 +52,7 @@
 
 // Answers cross: one that was sent earlier arrives later, and must not pass
 // for a young one.
-Test(freshness, ignores_crossed_answers) {
+Test(freshness, ignores_answers_out_of_order) {
   freshness Freshness = threeSamples();
   addSample(Freshness, {Start + milliseconds(500), {1, 12}},
             Start + milliseconds(2100));
--- a/tests/session/handover_test.cpp
+++ b/tests/session/handover_test.cpp
@@ -33,7 +33,7 @@
 } // namespace
 
 // Heartbeats cross: news of an older agreement arrives after a newer one.
-Test(primary_claims, only_go_forward) {
+Test(primary_claims, never_go_back) {
   primary_claims Claims;
   cr_assert(applyClaim(Claims, claim(7, true, "p"), Start));
   cr_assert(!applyClaim(Claims, claim(5, false, "q"), Start));
@@ -43,14 +43,14 @@
   cr_assert(Claims.Version == 7);
 }
 
-Test(primary_claims, survive_the_store) {
+Test(primary_claims, survive_encoding) {
   const primary_claim Claim = claim(9, true, "p");
   cr_assert(readClaim(claimKey("s"), 9, claimText(Claim)) == Claim);
   cr_assert(!readClaim(claimKey("s"), 9, "not json"));
 }
 
 // One instance has lost its link to the primary; the others work with it.
-Test(handover, is_not_begun_for_one_instance) {
+Test(handover, is_not_begun_for_one_suspecting_instance) {
   const endpoint_entry Entry = entry(false);
   handover_view View{nullptr, "p", &Entry, {}, 6, 1, {}};
   cr_assert(causeToMove(View, Limits, Start) == move_cause::None);
@@ -92,7 +92,7 @@
 // An instance is cut off, with callers that write to the old primary. Nobody
 // may be promoted before that instance's right is over; and never on the word
 // of less than half: the others may still hear a majority among themselves.
-Test(handover, waits_out_the_lease_of_silent_instances) {
+Test(handover, waits_until_leases_of_silent_instances_expire) {
   const auto Over = Start + Limits.ReadingValidFor + milliseconds(1);
   cr_assert(mayPromote({Start, true, Start}, Limits, Start));
   cr_assert(!mayPromote({Start, false, Start}, Limits, Start));
@@ -117,7 +117,7 @@
 // one begins anew; the replicas are too busy to answer it, and the old primary,
 // which has not yet heard of the new one, says that it leads. A user's write
 // that it then confirmed would be rolled back a second later.
-Test(handover, lets_the_old_primary_go_on_only_when_nobody_can_be_promoted) {
+Test(handover, keeps_the_old_primary_only_if_no_promotion_can_take_effect) {
   endpoint_status Leads;
   Leads.Role = endpoint_role::Primary;
   endpoint_status Follows;
--- a/tests/session/primary_claims_test.cpp
+++ b/tests/session/primary_claims_test.cpp
@@ -17,7 +17,7 @@
 } // namespace
 
 // Guards against acknowledging a move without telling the others of it.
-Test(primary_claims, are_told_whatever_services_are_configured) {
+Test(primary_claims, are_reported_whatever_services_are_configured) {
   primary_claims Claims;
   constexpr std::uint64_t Services = 20;
   for (std::uint64_t Number = 1; Number <= Services; ++Number)
--- a/tests/session/replica_lag_test.cpp
+++ b/tests/session/replica_lag_test.cpp
@@ -19,28 +19,28 @@
 }
 
 /// Reads at a replica, and those that it refused.
-struct guesses {
+struct read_counts {
   unsigned Tried = 0;
   unsigned Refused = 0;
-  unsigned Elsewhere = 0;
+  unsigned SentElsewhere = 0;
 };
 
 /// A session each 10 ms reads what it committed up to 300 ms ago, at a replica
 /// that has each commit \p Lag later; where the lag is known, it goes elsewhere
 /// when the replica probably has not got it.
-guesses play(bool LagKnown, unsigned Reads) {
+read_counts simulate(bool UsesEstimate, unsigned Reads) {
   std::mt19937 Random(4711);
   std::lognormal_distribution<double> LagMs(4.0, 0.6);
   std::uniform_int_distribution<int> AgeMs(0, 300);
   replica_lag Lag;
-  guesses Result;
+  read_counts Result;
   instant Now = Start;
   for (unsigned Read = 0; Read < Reads; ++Read) {
     Now += milliseconds(10);
     const milliseconds Age(AgeMs(Random));
     const required_point Required = pointOfAge(Age, Now, 50 + Read);
-    if (LagKnown && probablyLags(Lag, Required, Now)) {
-      ++Result.Elsewhere;
+    if (UsesEstimate && probablyLags(Lag, Required, Now)) {
+      ++Result.SentElsewhere;
       continue;
     }
     ++Result.Tried;
@@ -56,7 +56,7 @@
 
 } // namespace
 
-Test(replica_lag, trusts_a_replica_that_was_seen_to_have_it) {
+Test(replica_lag, trusts_a_replica_that_was_seen_to_have_the_position) {
   replica_lag Lag;
   noteLagging(Lag, pointOfAge(milliseconds(200), Start), Start);
   cr_assert(probablyLags(Lag, pointOfAge(milliseconds(50), Start), Start));
@@ -68,20 +68,21 @@
 }
 
 // Guards against asking replicas for a commit that they cannot have yet.
-Test(replica_lag, learns_how_young_a_point_is_too_young) {
+Test(replica_lag, learns_the_typical_lag) {
   constexpr unsigned Reads = 4000;
-  const guesses Blind = play(false, Reads);
-  cr_assert(Blind.Refused * 6 > Blind.Tried, "%u of %u", Blind.Refused,
-            Blind.Tried);
-  const guesses Learned = play(true, Reads);
-  cr_assert(Learned.Refused * 40 < Learned.Tried, "%u of %u", Learned.Refused,
-            Learned.Tried);
+  const read_counts WithoutEstimate = simulate(false, Reads);
+  cr_assert(WithoutEstimate.Refused * 6 > WithoutEstimate.Tried, "%u of %u",
+            WithoutEstimate.Refused, WithoutEstimate.Tried);
+  const read_counts WithEstimate = simulate(true, Reads);
+  cr_assert(WithEstimate.Refused * 40 < WithEstimate.Tried, "%u of %u",
+            WithEstimate.Refused, WithEstimate.Tried);
   // What it probably has is still read there.
-  cr_assert(Learned.Tried * 2 > Reads, "%u of %u", Learned.Tried, Reads);
+  cr_assert(WithEstimate.Tried * 2 > Reads, "%u of %u", WithEstimate.Tried,
+            Reads);
 }
 
 // Guards against asking in vain a replica that is seconds behind.
-Test(replica_lag, asks_a_replica_that_is_far_behind_less_and_less) {
+Test(replica_lag, backs_off_from_a_replica_that_is_far_behind) {
   replica_lag Lag;
   unsigned Asked = 0;
   const auto Ask = [&](instant Now) {
--- a/tests/session/session_core_test.cpp
+++ b/tests/session/session_core_test.cpp
@@ -19,111 +19,113 @@
 
 // The plain way: a write, then reads of the three kinds.
 Test(session_core, serves_writes_at_the_primary_and_reads_at_replicas) {
-  bench_core Bench;
-  caller_session Strict = Bench.open("strict");
-  cr_assert(!Bench.OpenError);
-  cr_assert(!Bench.write(Strict).Error);
-  cr_assert(Bench.Group.Seen.back().Endpoint == "p");
-  cr_assert(Bench.Group.Seen.back().Text == "WRITE x 1");
-  cr_assert(!Bench.read(Strict).Error);
-  cr_assert(Bench.Group.Seen.back().Endpoint == "p");
-  caller_session Bounded = Bench.open("bounded");
-  const answer Answer = Bench.read(Bounded);
+  core_fixture Fixture;
+  caller_session Strict = Fixture.open("strict");
+  cr_assert(!Fixture.OpenError);
+  cr_assert(!Fixture.write(Strict).Error);
+  cr_assert(Fixture.Group.Received.back().Endpoint == "p");
+  cr_assert(Fixture.Group.Received.back().Text == "WRITE x 1");
+  cr_assert(!Fixture.read(Strict).Error);
+  cr_assert(Fixture.Group.Received.back().Endpoint == "p");
+  caller_session Bounded = Fixture.open("bounded");
+  const answer Answer = Fixture.read(Bounded);
   cr_assert(!Answer.Error && Answer.Signature == "proof");
-  cr_assert(Bench.Group.Seen.back().Endpoint != "p");
+  cr_assert(Fixture.Group.Received.back().Endpoint != "p");
   // The replica has to prove that it holds what the primary had.
-  cr_assert(Bench.Group.Seen.back().After == Bench.Group.Point);
+  cr_assert(Fixture.Group.Received.back().After == Fixture.Group.Point);
 }
 
 Test(session_core, refuses_unknown_databases_and_keys) {
-  bench_core Bench;
-  Bench.open("nowhere");
-  cr_assert(Bench.openedWith(answer_code::NoDatabase));
-  Bench.open("strict", "stolen");
-  cr_assert(Bench.openedWith(answer_code::Denied));
+  core_fixture Fixture;
+  Fixture.open("nowhere");
+  cr_assert(Fixture.openedWith(answer_code::NoDatabase));
+  Fixture.open("strict", "stolen");
+  cr_assert(Fixture.openedWith(answer_code::Denied));
 }
 
 // A user's key is withdrawn while the session stays open: its next statement
 // must be denied and reach no endpoint, also inside a transaction.
 Test(session_core, denies_a_withdrawn_key_on_an_open_session) {
-  bench_core Bench;
-  caller_session Session = Bench.open("strict");
-  cr_assert(!Bench.run(Session, statement_kind::Begin, "BEGIN").Error);
-  cr_assert(!Bench.write(Session).Error);
-  auto Table = std::make_shared<route_table>(*Bench.Routes);
+  core_fixture Fixture;
+  caller_session Session = Fixture.open("strict");
+  cr_assert(!Fixture.run(Session, statement_kind::Begin, "BEGIN").Error);
+  cr_assert(!Fixture.write(Session).Error);
+  auto Table = std::make_shared<route_table>(*Fixture.Routes);
   Table->Keys.erase("key");
-  Bench.Routes = Table;
-  const std::size_t Before = Bench.Group.Seen.size();
-  const answer Answer = Bench.write(Session);
+  Fixture.Routes = Table;
+  const std::size_t Before = Fixture.Group.Received.size();
+  const answer Answer = Fixture.write(Session);
   cr_assert(failedWith(Answer, answer_code::Denied));
   cr_assert(Answer.State == transaction_state::Failed);
-  cr_assert(Bench.Group.Seen.size() == Before);
+  cr_assert(Fixture.Group.Received.size() == Before);
 }
 
 Test(session_core, keeps_a_transaction_on_one_connection) {
-  bench_core Bench;
-  caller_session Session = Bench.open("own");
-  cr_assert(Bench.run(Session, statement_kind::Begin, "BEGIN").State ==
+  core_fixture Fixture;
+  caller_session Session = Fixture.open("own");
+  cr_assert(Fixture.run(Session, statement_kind::Begin, "BEGIN").State ==
             transaction_state::Open);
-  cr_assert(Bench.Group.Seen.empty());
-  Bench.write(Session);
-  Bench.read(Session);
-  const answer Answer = Bench.run(Session, statement_kind::Commit, "COMMIT");
+  cr_assert(Fixture.Group.Received.empty());
+  Fixture.write(Session);
+  Fixture.read(Session);
+  const answer Answer = Fixture.run(Session, statement_kind::Commit, "COMMIT");
   cr_assert(!Answer.Error && Answer.Signature == "proof");
   cr_assert(Answer.State == transaction_state::Idle);
-  cr_assert(Bench.Group.Seen.size() == 4);
-  for (const seen_statement &Statement : Bench.Group.Seen) {
+  cr_assert(Fixture.Group.Received.size() == 4);
+  for (const received_statement &Statement : Fixture.Group.Received) {
     cr_assert(Statement.Endpoint == "p");
-    cr_assert(Statement.Connection == Bench.Group.Seen.front().Connection);
+    cr_assert(Statement.Connection ==
+              Fixture.Group.Received.front().Connection);
   }
 }
 
 // A session commits, then reads at once: only a replica that holds the commit
 // may serve it.
 Test(session_core, lets_a_session_see_its_own_commits) {
-  bench_core Bench;
-  caller_session Session = Bench.open("own");
-  Bench.write(Session);
-  Bench.Group.Point = {1, 250};
-  Bench.write(Session);
-  Bench.Group.Script = [](const seen_statement &Statement) {
+  core_fixture Fixture;
+  caller_session Session = Fixture.open("own");
+  Fixture.write(Session);
+  Fixture.Group.Point = {1, 250};
+  Fixture.write(Session);
+  Fixture.Group.Script = [](const received_statement &Statement) {
     return Statement.Endpoint == "r1"
                ? std::optional(refused(answer_code::Lagging))
                : std::nullopt;
   };
-  const answer Answer = Bench.read(Session);
+  const answer Answer = Fixture.read(Session);
   cr_assert(!Answer.Error);
-  cr_assert(Bench.Group.Seen.back().Endpoint != "r1");
-  cr_assert(Bench.Group.Seen.back().After == log_point({1, 250}));
+  cr_assert(Fixture.Group.Received.back().Endpoint != "r1");
+  cr_assert(Fixture.Group.Received.back().After == log_point({1, 250}));
 }
 
 // Two sessions of one customer share a connection; one has set a value. The
 // other must not run with it.
 Test(session_core, shares_connections_without_sharing_values) {
-  bench_core Bench;
-  caller_session First = Bench.open("strict");
-  caller_session Second = Bench.open("strict");
-  Bench.run(First, statement_kind::Set, "SET a 1", "a", "1");
-  Bench.read(First);
-  Bench.read(Second);
+  core_fixture Fixture;
+  caller_session First = Fixture.open("strict");
+  caller_session Second = Fixture.open("strict");
+  Fixture.run(First, statement_kind::Set, "SET a 1", "a", "1");
+  Fixture.read(First);
+  Fixture.read(Second);
   std::vector<std::string> Texts;
-  std::ranges::transform(Bench.Group.Seen, std::back_inserter(Texts),
-                         &seen_statement::Text);
+  std::ranges::transform(Fixture.Group.Received, std::back_inserter(Texts),
+                         &received_statement::Text);
   cr_assert(Texts ==
             std::vector<std::string>({"SET a 1", "READ x", "RESET", "READ x"}));
 }
 
 // Two sessions prepare other statements under the same name.
 Test(session_core, keeps_prepared_names_of_sessions_apart) {
-  bench_core Bench;
-  caller_session First = Bench.open("strict");
-  caller_session Second = Bench.open("strict");
-  Bench.run(First, statement_kind::Prepare, "PREPARE s READ a", "s", "READ a");
-  Bench.run(Second, statement_kind::Prepare, "PREPARE s WRITE b", "s",
-            "WRITE b");
-  Bench.run(First, statement_kind::Execute, "EXECUTE s 1", "s", "1");
-  Bench.run(Second, statement_kind::Execute, "EXECUTE s 2 d", "s", "2 d");
-  const auto Own = Bench.Group.callersOwn();
+  core_fixture Fixture;
+  caller_session First = Fixture.open("strict");
+  caller_session Second = Fixture.open("strict");
+  Fixture.run(First, statement_kind::Prepare, "PREPARE s READ a", "s",
+              "READ a");
+  Fixture.run(Second, statement_kind::Prepare, "PREPARE s WRITE b", "s",
+              "WRITE b");
+  Fixture.run(First, statement_kind::Execute, "EXECUTE s 1", "s", "1");
+  Fixture.run(Second, statement_kind::Execute, "EXECUTE s 2 d", "s", "2 d");
+  const auto Own = Fixture.Group.callerStatements();
   cr_assert(Own.size() == 2);
   cr_assert(Own[0].Text == "EXECUTE p1 1");
   cr_assert(Own[1].Text == "EXECUTE p2 2 d");
@@ -131,128 +133,129 @@
 
 // A user pays, and the connection breaks before the answer: the payment may
 // have run. It must not be repeated, nor be called "not run".
-Test(session_core, never_repeats_a_write_without_an_answer) {
-  bench_core Bench;
-  caller_session Session = Bench.open("strict");
-  Bench.Group.Script = [](const seen_statement &) {
+Test(session_core, never_retries_a_write_without_an_answer) {
+  core_fixture Fixture;
+  caller_session Session = Fixture.open("strict");
+  Fixture.Group.Script = [](const received_statement &) {
     return std::optional(ended(exchange_outcome::Broken));
   };
-  cr_assert(failedWith(Bench.write(Session), answer_code::InDoubt));
-  cr_assert(Bench.Group.callersOwn().size() == 1);
+  cr_assert(failedWith(Fixture.write(Session), answer_code::InDoubt));
+  cr_assert(Fixture.Group.callerStatements().size() == 1);
 }
 
 // The same for a read: it is repeated at another endpoint, unseen.
-Test(session_core, repeats_a_read_elsewhere) {
-  bench_core Bench;
-  caller_session Warm = Bench.open("strict");
-  Bench.write(Warm);
-  caller_session Session = Bench.open("bounded");
+Test(session_core, retries_a_read_elsewhere) {
+  core_fixture Fixture;
+  caller_session Warm = Fixture.open("strict");
+  Fixture.write(Warm);
+  caller_session Session = Fixture.open("bounded");
   unsigned Failures = 1;
-  Bench.Group.Script = [&](const seen_statement &) {
+  Fixture.Group.Script = [&](const received_statement &) {
     return Failures-- > 0 ? std::optional(ended(exchange_outcome::Broken))
                           : std::nullopt;
   };
-  cr_assert(!Bench.read(Session).Error);
-  const auto Own = Bench.Group.callersOwn();
+  cr_assert(!Fixture.read(Session).Error);
+  const auto Own = Fixture.Group.callerStatements();
   cr_assert(Own[1].Endpoint != Own[2].Endpoint);
 }
 
 // A write is refused as busy: that proves that it did not run, so it may be
 // tried again, and the caller sees only the success.
-Test(session_core, repeats_a_write_that_did_not_run) {
-  bench_core Bench;
-  caller_session Session = Bench.open("strict");
+Test(session_core, retries_a_write_that_did_not_run) {
+  core_fixture Fixture;
+  caller_session Session = Fixture.open("strict");
   unsigned Failures = 1;
-  Bench.Group.Script = [&](const seen_statement &) {
+  Fixture.Group.Script = [&](const received_statement &) {
     return Failures-- > 0 ? std::optional(refused(answer_code::Busy))
                           : std::nullopt;
   };
-  cr_assert(!Bench.write(Session).Error);
+  cr_assert(!Fixture.write(Session).Error);
 }
 
 // The primary is replaced while a write is under way there. Its answer must
 // not be passed on as a success.
 Test(session_core, does_not_acknowledge_a_write_of_a_replaced_primary) {
-  bench_core Bench;
-  caller_session Session = Bench.open("strict");
-  Bench.Group.Script = [&](const seen_statement &) -> std::optional<exchange> {
-    Bench.PrimaryLease = primary_lease{"s", "r1", 2};
+  core_fixture Fixture;
+  caller_session Session = Fixture.open("strict");
+  Fixture.Group.Script =
+      [&](const received_statement &) -> std::optional<exchange> {
+    Fixture.PrimaryLease = primary_lease{"s", "r1", 2};
     return std::nullopt;
   };
-  cr_assert(failedWith(Bench.write(Session), answer_code::InDoubt));
+  cr_assert(failedWith(Fixture.write(Session), answer_code::InDoubt));
 }
 
 // A commit's answer is lost: the caller learns that the outcome is unknown.
 Test(session_core, reports_a_lost_commit_as_in_doubt) {
-  bench_core Bench;
-  caller_session Session = Bench.open("strict");
-  Bench.run(Session, statement_kind::Begin, "BEGIN");
-  Bench.write(Session);
-  Bench.Group.Script = [](const seen_statement &Statement) {
+  core_fixture Fixture;
+  caller_session Session = Fixture.open("strict");
+  Fixture.run(Session, statement_kind::Begin, "BEGIN");
+  Fixture.write(Session);
+  Fixture.Group.Script = [](const received_statement &Statement) {
     return Statement.Text == "COMMIT"
                ? std::optional(ended(exchange_outcome::Broken))
                : std::nullopt;
   };
-  const answer Answer = Bench.run(Session, statement_kind::Commit, "COMMIT");
+  const answer Answer = Fixture.run(Session, statement_kind::Commit, "COMMIT");
   cr_assert(failedWith(Answer, answer_code::InDoubt));
   cr_assert(Answer.State == transaction_state::Idle);
 }
 
 // The same for a transaction that has only read: nothing can be kept, so the
 // caller is told that it may repeat it.
-Test(session_core, lets_a_lost_commit_of_reads_be_repeated) {
-  bench_core Bench;
-  caller_session Session = Bench.open("strict");
-  Bench.run(Session, statement_kind::Begin, "BEGIN");
-  Bench.read(Session);
-  Bench.Group.Script = [](const seen_statement &Statement) {
+Test(session_core, lets_a_lost_read_only_commit_be_retried) {
+  core_fixture Fixture;
+  caller_session Session = Fixture.open("strict");
+  Fixture.run(Session, statement_kind::Begin, "BEGIN");
+  Fixture.read(Session);
+  Fixture.Group.Script = [](const received_statement &Statement) {
     return Statement.Text == "COMMIT"
                ? std::optional(ended(exchange_outcome::Broken))
                : std::nullopt;
   };
-  cr_assert(failedWith(Bench.run(Session, statement_kind::Commit, "COMMIT"),
+  cr_assert(failedWith(Fixture.run(Session, statement_kind::Commit, "COMMIT"),
                        answer_code::Aborted));
 }
 
 // The connection of an open transaction breaks: nothing of it can commit any
 // more, and the caller may repeat it as a whole.
 Test(session_core, aborts_a_transaction_whose_connection_broke) {
-  bench_core Bench;
-  caller_session Session = Bench.open("strict");
-  Bench.run(Session, statement_kind::Begin, "BEGIN");
-  Bench.write(Session);
-  Bench.Group.Script = [](const seen_statement &) {
+  core_fixture Fixture;
+  caller_session Session = Fixture.open("strict");
+  Fixture.run(Session, statement_kind::Begin, "BEGIN");
+  Fixture.write(Session);
+  Fixture.Group.Script = [](const received_statement &) {
     return std::optional(ended(exchange_outcome::Broken));
   };
-  answer Answer = Bench.write(Session);
+  answer Answer = Fixture.write(Session);
   cr_assert(failedWith(Answer, answer_code::Aborted));
   cr_assert(Answer.State == transaction_state::Failed);
-  cr_assert(failedWith(Bench.write(Session), answer_code::Malformed));
-  Answer = Bench.run(Session, statement_kind::Rollback, "ROLLBACK");
+  cr_assert(failedWith(Fixture.write(Session), answer_code::Malformed));
+  Answer = Fixture.run(Session, statement_kind::Rollback, "ROLLBACK");
   cr_assert(!Answer.Error && Answer.State == transaction_state::Idle);
 }
 
 // A customer sends more than its rate: it is refused at once, with the time
 // to come back.
-Test(session_core, refuses_over_the_rate_with_a_time) {
-  bench_core Bench;
-  caller_session Session = Bench.open("strict");
-  Bench.Admitted = false;
-  const answer Answer = Bench.write(Session);
+Test(session_core, refuses_over_the_rate_with_a_retry_time) {
+  core_fixture Fixture;
+  caller_session Session = Fixture.open("strict");
+  Fixture.Admitted = false;
+  const answer Answer = Fixture.write(Session);
   cr_assert(failedWith(Answer, answer_code::Busy));
   cr_assert(Answer.Error &&
             Answer.Error->Reason.ends_with("retry after 120 ms"));
-  cr_assert(Bench.Group.Seen.empty());
+  cr_assert(Fixture.Group.Received.empty());
 }
 
 // No statement of one customer runs on a connection of another.
 Test(session_core, keeps_customers_on_connections_of_their_own) {
-  bench_core Bench;
-  caller_session First = Bench.open("strict");
-  caller_session Second = Bench.open("strict", "key2");
-  Bench.read(First);
-  Bench.read(Second);
-  const auto Own = Bench.Group.callersOwn();
+  core_fixture Fixture;
+  caller_session First = Fixture.open("strict");
+  caller_session Second = Fixture.open("strict", "key2");
+  Fixture.read(First);
+  Fixture.read(Second);
+  const auto Own = Fixture.Group.callerStatements();
   cr_assert(Own[0].Customer == "acme");
   cr_assert(Own[1].Customer == "bolt");
 }
@@ -261,55 +264,56 @@
 // attempt counted against its customer's rate, though nothing ran: coming back
 // when there was room again, the user was refused for the rate.
 Test(session_core, counts_only_what_may_have_run_against_the_rate) {
-  bench_core Bench;
-  caller_session Session = Bench.open("strict");
-  Bench.Group.Script = [](const seen_statement &) {
+  core_fixture Fixture;
+  caller_session Session = Fixture.open("strict");
+  Fixture.Group.Script = [](const received_statement &) {
     return std::optional(refused(answer_code::Busy));
   };
-  cr_assert(failedWith(Bench.write(Session), answer_code::Busy));
-  cr_assert(Bench.Returned == 1);
-  Bench.Group.Script = [](const seen_statement &) {
+  cr_assert(failedWith(Fixture.write(Session), answer_code::Busy));
+  cr_assert(Fixture.Returned == 1);
+  Fixture.Group.Script = [](const received_statement &) {
     return std::optional(ended(exchange_outcome::Broken));
   };
-  cr_assert(failedWith(Bench.write(Session), answer_code::InDoubt));
-  Bench.Group.Script = {};
-  cr_assert(!Bench.write(Session).Error);
-  cr_assert(Bench.Returned == 1);
+  cr_assert(failedWith(Fixture.write(Session), answer_code::InDoubt));
+  Fixture.Group.Script = {};
+  cr_assert(!Fixture.write(Session).Error);
+  cr_assert(Fixture.Returned == 1);
 }
 
 // The same for transactions: one that found no endpoint, or was given up before
 // it needed one, has run nowhere.
 Test(session_core, counts_only_begun_transactions_against_the_rate) {
-  bench_core Bench;
-  caller_session Session = Bench.open("strict");
-  Bench.run(Session, statement_kind::Begin, "BEGIN");
-  Bench.Group.Script = [](const seen_statement &) {
+  core_fixture Fixture;
+  caller_session Session = Fixture.open("strict");
+  Fixture.run(Session, statement_kind::Begin, "BEGIN");
+  Fixture.Group.Script = [](const received_statement &) {
     return std::optional(refused(answer_code::Busy));
   };
-  cr_assert(Bench.write(Session).Error);
-  Bench.run(Session, statement_kind::Rollback, "ROLLBACK");
-  cr_assert(Bench.Returned == 1);
-  Bench.run(Session, statement_kind::Begin, "BEGIN");
-  Bench.run(Session, statement_kind::Rollback, "ROLLBACK");
-  cr_assert(Bench.Returned == 2);
-  Bench.Group.Script = {};
-  Bench.run(Session, statement_kind::Begin, "BEGIN");
-  cr_assert(!Bench.write(Session).Error);
-  Bench.run(Session, statement_kind::Rollback, "ROLLBACK");
-  cr_assert(Bench.Returned == 2);
+  cr_assert(Fixture.write(Session).Error);
+  Fixture.run(Session, statement_kind::Rollback, "ROLLBACK");
+  cr_assert(Fixture.Returned == 1);
+  Fixture.run(Session, statement_kind::Begin, "BEGIN");
+  Fixture.run(Session, statement_kind::Rollback, "ROLLBACK");
+  cr_assert(Fixture.Returned == 2);
+  Fixture.Group.Script = {};
+  Fixture.run(Session, statement_kind::Begin, "BEGIN");
+  cr_assert(!Fixture.write(Session).Error);
+  Fixture.run(Session, statement_kind::Rollback, "ROLLBACK");
+  cr_assert(Fixture.Returned == 2);
 }
 
 // Guards against avoiding an endpoint because its primary was given up.
 Test(session_core, does_not_blame_an_endpoint_for_a_lost_lease) {
-  bench_core Bench;
-  caller_session Session = Bench.open("strict");
-  Bench.run(Session, statement_kind::Set, "SET a 1", "a", "1");
-  Bench.Group.Script = [&](const seen_statement &) -> std::optional<exchange> {
-    Bench.PrimaryLease.reset();
+  core_fixture Fixture;
+  caller_session Session = Fixture.open("strict");
+  Fixture.run(Session, statement_kind::Set, "SET a 1", "a", "1");
+  Fixture.Group.Script =
+      [&](const received_statement &) -> std::optional<exchange> {
+    Fixture.PrimaryLease.reset();
     return std::nullopt;
   };
-  cr_assert(failedWith(Bench.write(Session), answer_code::Busy));
-  cr_assert(Bench.Group.callersOwn().empty());
-  cr_assert(Bench.Set.Pools.at("p")->health().Failures == 0);
-  cr_assert(Bench.Problems.empty());
+  cr_assert(failedWith(Fixture.write(Session), answer_code::Busy));
+  cr_assert(Fixture.Group.callerStatements().empty());
+  cr_assert(Fixture.Set.Pools.at("p")->health().Failures == 0);
+  cr_assert(Fixture.Problems.empty());
 }
--- a/tests/session/slot_queue_test.cpp
+++ b/tests/session/slot_queue_test.cpp
@@ -17,10 +17,10 @@
 namespace {
 
 const instant Start{std::chrono::seconds(100)};
-const instant Never = Start + std::chrono::hours(1);
+const instant FarFuture = Start + std::chrono::hours(1);
 
 bool add(slot_queue &Queue, slot_level Level, std::uint64_t Id,
-         const std::string &Customer = "acme", instant Deadline = Never) {
+         const std::string &Customer = "acme", instant Deadline = FarFuture) {
   return enqueue(Queue, Level, {Id, Customer, Deadline}, Start).Queued;
 }
 
@@ -54,20 +54,20 @@
   instant At;
   slot_level Level;
   milliseconds Work;
-  milliseconds Aim;
+  milliseconds Target;
 };
 
 /// Statements of two kinds in the proportion and with the times of order
 /// changes and confirmations, \p Load times what \p Slots can do.
-std::vector<arrival> playedLoad(double Load, unsigned Slots) {
+std::vector<arrival> generatedLoad(double Load, unsigned Slots) {
   std::mt19937 Random(4711);
   constexpr double MeanWorkMs = 0.2 * 6 + 0.8 * 18;
   std::exponential_distribution<double> Gap(Load * Slots / MeanWorkMs);
   std::bernoulli_distribution IsUrgent(0.2);
   std::vector<arrival> Arrivals;
   double AtMs = 0;
-  constexpr double PlayedMs = 20'000;
-  while (AtMs < PlayedMs) {
+  constexpr double GeneratedMs = 20'000;
+  while (AtMs < GeneratedMs) {
     AtMs += Gap(Random);
     const instant At = Start + microseconds(static_cast<int>(AtMs * 1000));
     if (IsUrgent(Random))
@@ -80,10 +80,10 @@
   return Arrivals;
 }
 
-struct played {
-  std::size_t InAim = 0;
+struct load_result {
+  std::size_t InTime = 0;
   std::size_t Refused = 0;
-  std::size_t HeldAndRefused = 0;
+  std::size_t QueuedAndRefused = 0;
 };
 
 struct running {
@@ -96,11 +96,11 @@
 
 /// Plays \p Arrivals against \p Slots; a statement waits for its turn for at
 /// most \p QueueShare of its aim.
-played play(const std::vector<arrival> &Arrivals, unsigned Slots,
-            double QueueShare) {
+load_result simulate(const std::vector<arrival> &Arrivals, unsigned Slots,
+                     double QueueShare) {
   slot_queue Queue;
   Queue.MaxRunning = Slots;
-  played Result;
+  load_result Result;
   std::priority_queue<running, std::vector<running>, std::greater<>> Running;
   const auto Run = [&](std::size_t Index, instant Now) {
     Running.push({Now + Arrivals[Index].Work, Index});
@@ -110,7 +110,7 @@
       const running Done = Running.top();
       Running.pop();
       const arrival &Arrival = Arrivals[Done.Index];
-      Result.InAim += Done.Until - Arrival.At <= Arrival.Aim ? 1 : 0;
+      Result.InTime += Done.Until - Arrival.At <= Arrival.Target ? 1 : 0;
       finish(Queue, Arrival.Level, "acme", Arrival.Work);
       while (const auto Ticket = startNext(Queue)) {
         if (Ticket->Deadline >= Done.Until) {
@@ -118,7 +118,7 @@
           continue;
         }
         // Its time passed while it waited.
-        ++Result.HeldAndRefused;
+        ++Result.QueuedAndRefused;
         --Queue.Running;
       }
     }
@@ -131,14 +131,14 @@
       continue;
     }
     const auto Patience =
-        std::chrono::duration_cast<microseconds>(Arrival.Aim * QueueShare);
+        std::chrono::duration_cast<microseconds>(Arrival.Target * QueueShare);
     const bool Queued =
         enqueue(Queue, Arrival.Level, {Index, "acme", Arrival.At + Patience},
                 Arrival.At)
             .Queued;
     Result.Refused += Queued ? 0 : 1;
   }
-  FinishUntil(Never);
+  FinishUntil(FarFuture);
   return Result;
 }
 
@@ -197,11 +197,11 @@
   cr_assert(Starts < 10, "%u turns", Starts);
 }
 
-Test(slot_queue, forgets_who_has_given_up) {
+Test(slot_queue, removes_cancelled_statements) {
   slot_queue Queue = busyQueue(1);
   add(Queue, slot_level::Low, 1);
   add(Queue, slot_level::Low, 2);
-  cancel(Queue, slot_level::Low, {1, "acme", Never});
+  cancel(Queue, slot_level::Low, {1, "acme", FarFuture});
   cr_assert(queuedIn(Queue) == 1);
   finish(Queue, slot_level::Low, "acme", milliseconds(2));
   cr_assert(next(Queue) == 2);
@@ -234,24 +234,24 @@
 Test(slot_queue, serves_in_time_what_the_slots_can_do_under_overload) {
   constexpr unsigned Slots = 3;
   constexpr double Load = 1.33;
-  const auto Arrivals = playedLoad(Load, Slots);
-  const played Bounded = play(Arrivals, Slots, 0.5);
+  const auto Arrivals = generatedLoad(Load, Slots);
+  const load_result Bounded = simulate(Arrivals, Slots, 0.5);
   const auto All = static_cast<double>(Arrivals.size());
   const double Possible = 1 / Load;
-  cr_assert(static_cast<double>(Bounded.InAim) / All > 0.95 * Possible,
-            "%zu in time of %zu", Bounded.InAim, Arrivals.size());
-  cr_assert(Bounded.HeldAndRefused < Arrivals.size() / 20, "%zu held in vain",
-            Bounded.HeldAndRefused);
+  cr_assert(static_cast<double>(Bounded.InTime) / All > 0.95 * Possible,
+            "%zu in time of %zu", Bounded.InTime, Arrivals.size());
+  cr_assert(Bounded.QueuedAndRefused < Arrivals.size() / 20, "%zu held in vain",
+            Bounded.QueuedAndRefused);
   constexpr double NoBound = 1e6;
-  const played Unbounded = play(Arrivals, Slots, NoBound);
-  cr_assert(2 * Unbounded.InAim < Bounded.InAim, "%zu in time without a bound",
-            Unbounded.InAim);
+  const load_result Unbounded = simulate(Arrivals, Slots, NoBound);
+  cr_assert(2 * Unbounded.InTime < Bounded.InTime,
+            "%zu in time without a bound", Unbounded.InTime);
 }
 
-Test(slot_queue, refuses_nobody_under_a_load_that_fits) {
+Test(slot_queue, refuses_hardly_any_under_a_load_that_fits) {
   constexpr unsigned Slots = 3;
-  const auto Arrivals = playedLoad(0.7, Slots);
-  const played Result = play(Arrivals, Slots, 0.5);
-  cr_assert(Result.Refused + Result.HeldAndRefused < Arrivals.size() / 500);
-  cr_assert(Result.InAim > Arrivals.size() * 995 / 1000);
+  const auto Arrivals = generatedLoad(0.7, Slots);
+  const load_result Result = simulate(Arrivals, Slots, 0.5);
+  cr_assert(Result.Refused + Result.QueuedAndRefused < Arrivals.size() / 500);
+  cr_assert(Result.InTime > Arrivals.size() * 995 / 1000);
 }
