--- a/tests/platform/decoding_test.cpp
+++ b/tests/platform/decoding_test.cpp
@@ -32,8 +32,8 @@
   cr_assert(Leaving && Leaving->Draining);
 }
 
-// Another writer leaves nonsense among the entries: it names no database, and
-// must not hide those that do.
+// Another writer leaves invalid rows among the entries: they name no database,
+// and must not hide those that do.
 Test(decoding, ignores_invalid_entries) {
   cr_assert(!readEntry("x", ""));
   cr_assert(!readEntry("x", "[1,2]"));
--- a/tests/platform/line_codec_test.cpp
+++ b/tests/platform/line_codec_test.cpp
@@ -36,7 +36,7 @@
   cr_assert(read("QUERY 1 DEALLOCATE s1").Kind == statement_kind::Deallocate);
 }
 
-// A statement that is not well formed must not reach an endpoint.
+// A malformed statement must not reach an endpoint.
 Test(line_codec, recognises_malformed_statements) {
   for (const char *Line :
        {"QUERY", "QUERY 1", "QUERY 1 ", "QUERY 1 READ", "QUERY 1 WRITE x",
@@ -48,7 +48,7 @@
   cr_assert(readMessage("").Kind == message_kind::Malformed);
 }
 
-// The text goes on to the endpoint as it came, blanks included.
+// The text is sent on to the endpoint unchanged, including blanks.
 Test(line_codec, keeps_the_text_unchanged) {
   const auto Statement = read("QUERY 5c0e WRITE 1a4  two  blanks ");
   cr_assert(Statement.Id == "5c0e");
@@ -70,7 +70,7 @@
   const auto Error = readError("READONLY i-7f3a91c2");
   cr_assert(Error.Code == answer_code::ReadOnly);
   cr_assert(Error.Reason == "i-7f3a91c2");
-  // An unknown code promises nothing.
+  // An unknown code does not guarantee that the attempt had no effect.
   cr_assert(!isSafeToRetry(readError("SURPRISE x").Code));
 }
 
--- a/tests/session/configuration_transfer_test.cpp
+++ b/tests/session/configuration_transfer_test.cpp
@@ -19,7 +19,7 @@
   return {Row, std::make_shared<const std::string>(LargeBytes, 'x')};
 }
 
-/// Two instances over real connections, in one loop.
+/// Two instances over real connections, in one event loop.
 struct configuration_pair {
   configuration_pair()
       : Holder(Context, Group), Requester(Context, Group),
@@ -38,7 +38,7 @@
     Answers.push_back(co_await Links.fetchConfiguration(From, Row));
   }
 
-  /// Asks so many times at once and waits for all answers.
+  /// Fetches so many times at once and waits for all answers.
   void fetch(std::uint64_t Row, std::size_t Times = 1) {
     for (std::size_t Count = 0; Count < Times; ++Count)
       boost::asio::co_spawn(Context, fetchOnce(Row), boost::asio::detached);
@@ -59,7 +59,8 @@
 
 } // namespace
 
-// Guards against a largest size of what instances can hand on.
+// Guards against a limit on the size of a configuration that instances can send
+// each other.
 Test(configuration_transfer, sends_a_configuration_of_any_size) {
   configuration_pair Pair;
   Pair.Held = largeConfiguration(9);
@@ -78,7 +79,8 @@
   cr_assert(Pair.Answers[0].Row == 0);
 }
 
-// Guards against a link that all others' requests fill at once.
+// Guards against a link that is saturated by the requests of all others at
+// once.
 Test(configuration_transfer,
      refuses_more_transfers_than_it_can_send_at_a_time) {
   configuration_pair Pair;
@@ -93,7 +95,7 @@
   cr_assert(Pair.Answers[0].Row == 9);
 }
 
-// Guards against a text made of two configurations.
+// Guards against a text assembled from two configurations.
 Test(configuration_transfer, rejects_chunks_of_two_configurations) {
   configuration_assembly Assembly;
   cr_assert(appendChunk(Assembly, {9, "begin", false}));
@@ -111,7 +113,7 @@
   cr_assert(Read && Read->Row == 7 && Read->Text == "text" && !Read->Last);
 }
 
-// Guards against one kind of message being taken for another.
+// Guards against one kind of message being decoded as another.
 Test(configuration_transfer, refuses_other_messages_and_secrets) {
   const configuration_request Request{300};
   const std::string Asked = encodeConfigurationRequest(Secret, Request);
--- a/tests/session/directory_test.cpp
+++ b/tests/session/directory_test.cpp
@@ -32,9 +32,9 @@
   cr_assert(findEndpoint(Directory, "a") == nullptr);
 }
 
-// The list could not be read for seconds, and entries lapsed meanwhile. The
-// endpoints live: taking them for gone would stop all service at the store's
-// return. One that stays missing is gone.
+// The list could not be read for seconds, and entries expired meanwhile. The
+// endpoints are alive: removing them would stop all service when the store
+// recovers. One that stays missing is gone.
 Test(directory, keeps_expired_entries_for_a_while_after_an_outage) {
   directory Directory;
   updateDirectory(Directory, {entry("a"), entry("b")}, Start);
@@ -48,8 +48,8 @@
   cr_assert(Changes.Gone.size() == 1 && Changes.Gone.front() == "b");
 }
 
-// A database starts again under its name: it knows nothing of before, so its
-// connections are void.
+// A database restarts under its name: it has lost its state, so the connections
+// to it are void.
 Test(directory, recognizes_a_restarted_endpoint) {
   directory Directory;
   updateDirectory(Directory, {entry("a", 1)}, Start);
@@ -58,9 +58,10 @@
   cr_assert(Changes.Started.size() == 1);
 }
 
-// A replica announces that it leaves while the other one trails and the primary
-// is dark: reads went on to it as the last resort, past the time after which it
-// may get none, and would have been cut off at its end.
+// A replica announces that it shuts down while the other one lags and the
+// primary is unreachable. Guards against reads that still go to it as the last
+// resort after the time from which it may get none: they would be cut off when
+// it stops.
 Test(directory, gives_a_draining_endpoint_no_work_after_a_while) {
   directory Directory;
   endpoint_entry Entry = entry("a");
@@ -74,15 +75,15 @@
   updateDirectory(Directory, {Entry}, Start + milliseconds(2000));
   cr_assert(Takes(milliseconds(4000)));
   cr_assert(!Takes(milliseconds(4600)));
-  // Whoever starts now cannot know for how long it has been leaving.
+  // An instance that starts now cannot know for how long it has been draining.
   directory Later;
   updateDirectory(Later, {Entry}, Start + milliseconds(2000));
   cr_assert(
       !acceptsWork(Later, Later.Endpoints.at("a"), Start + milliseconds(2000)));
 }
 
-// Instances tell each other the digest of the list in place of the list, so any
-// change that decides what an endpoint is used for has to show in it.
+// Instances exchange the digest of the list instead of the list, so any change
+// that decides how an endpoint is used must change the digest.
 Test(directory, digests_differ_with_every_field) {
   const std::vector<endpoint_entry> List{entry("a"), entry("b")};
   cr_assert(digestOf(List) == digestOf({entry("a"), entry("b")}));
--- a/tests/session/endpoint_choice_test.cpp
+++ b/tests/session/endpoint_choice_test.cpp
@@ -45,8 +45,8 @@
   cr_assert(best({Far, candidate("near")}) == "near");
 }
 
-// An endpoint fails: it is passed over, for longer with each failure, but
-// stays a last resort, since it may be the only one.
+// An endpoint fails: it is avoided, for longer with each failure, but stays a
+// last resort, since it may be the only one.
 Test(endpoint_choice, avoids_a_failing_endpoint_for_a_while) {
   choice_candidate Failing = candidate("failing");
   Failing.Failures = 2;
--- a/tests/session/endpoint_owner_test.cpp
+++ b/tests/session/endpoint_owner_test.cpp
@@ -28,7 +28,7 @@
       ->Name;
 }
 
-/// Instances that exchange heartbeats in passed time.
+/// Instances that exchange heartbeats in simulated time.
 struct heartbeat_fleet {
   heartbeat_fleet(std::size_t Count, std::size_t DirectLimit) {
     control::membership_limits Limits;
@@ -66,7 +66,8 @@
     }
   }
 
-  /// Of \p Endpoints, those whose owner not nearly all agree on.
+  /// How many of \p Endpoints have an owner that fewer than nine in ten
+  /// instances agree on.
   std::size_t disputed(std::size_t Endpoints) const {
     std::size_t Disputed = 0;
     for (std::size_t Endpoint = 0; Endpoint < Endpoints; ++Endpoint) {
@@ -116,7 +117,7 @@
     cr_assert(owner(Endpoint, Candidates) == owner(Endpoint, Turned));
 }
 
-// An instance is replaced. Were all endpoints divided anew, nearly every
+// An instance is replaced. If all endpoints were reassigned, nearly every
 // connection in the fleet would be set up again at that moment.
 Test(endpoint_owner, changes_only_for_endpoints_of_a_removed_instance) {
   const auto Before = fleet(12, 4);
@@ -128,8 +129,8 @@
       cr_assert(owner(Endpoint, Before) == owner(Endpoint, After));
 }
 
-// Names of instances differ in a letter or two. A weak hash would give one of
-// them most endpoints, and it would be the fleet's narrowest place.
+// Names of instances differ in a letter or two. A weak hash would assign most
+// endpoints to one of them, which would become the fleet's bottleneck.
 Test(endpoint_owner, spreads_endpoints_over_instances) {
   const auto Candidates = fleet(80, 4);
   std::map<base::instance_name, std::size_t> Owned;
@@ -142,7 +143,7 @@
     cr_assert(Count < 2 * Even, "%s owns %zu", Name.c_str(), Count);
 }
 
-// An instance dies. Within a second nobody passes statements on to it.
+// An instance dies. Within a second no statements are forwarded to it.
 Test(endpoint_owner, skips_an_instance_without_heartbeats) {
   heartbeat_fleet Fleet(6, 16);
   Fleet.run(base::milliseconds(2000));
@@ -153,7 +154,8 @@
   cr_assert(ownersAmong(First, Fleet.Now).size() == 4);
 }
 
-// Guards against many owners of an endpoint where few are heard directly.
+// Guards against several owners of an endpoint in a fleet where each instance
+// receives only few heartbeats directly.
 Test(endpoint_owner, agrees_in_a_fleet_with_relays) {
   heartbeat_fleet Fleet(60, 16);
   Fleet.run(base::milliseconds(20'000));
--- a/tests/session/endpoint_pool_test.cpp
+++ b/tests/session/endpoint_pool_test.cpp
@@ -28,7 +28,7 @@
   std::shared_ptr<endpoint_pool> Pool;
 };
 
-/// Asks for a connection, again and again for \p Patience as callers do.
+/// Tries to acquire a connection repeatedly for \p Patience, as callers do.
 base::task<void> acquireWithin(pool_fixture &Fixture, milliseconds Patience,
                                bool &Got) {
   const base::instant End = base::now() + Patience;
@@ -53,11 +53,11 @@
 
 } // namespace
 
-// All instances were killed and start again; the endpoint still counts the dead
-// ones' connections and takes hardly any new one. A caller's statement came
-// while the only connection was at work: five tries to open another one were
-// refused within two milliseconds, and so was the caller, though the
-// connection was free a moment later.
+// All instances were killed and restart; the endpoint still counts the dead
+// ones' connections and accepts hardly any new one. Guards against a statement
+// that arrives while the only connection is in use: five attempts to open
+// another one were refused within two milliseconds, and so was the caller,
+// though the connection was free a moment later.
 Test(endpoint_pool, waits_for_its_own_connection_when_the_endpoint_is_full) {
   pool_fixture Fixture;
   Fixture.Group.MaxConnections = 1;
@@ -72,9 +72,9 @@
   cr_assert(Fixture.Group.Refusals <= 1);
 }
 
-// An instance that owned nearly all connections of an endpoint loses its power.
-// The endpoint counts them for three more seconds, and the next owner's callers
-// find none. So what was opened for a peak is closed soon after it.
+// An instance that owned nearly all connections of an endpoint loses power. The
+// endpoint counts them for three more seconds, and the next owner's callers get
+// none. So connections opened for a peak are closed soon after it.
 Test(endpoint_pool, keeps_few_connections_when_the_peak_is_over) {
   pool_fixture Fixture;
   pool_limits Limits;
--- a/tests/session/fake_endpoint.hpp
+++ b/tests/session/fake_endpoint.hpp
@@ -12,11 +12,11 @@
 #include <string>
 #include <vector>
 
-/// A group of databases without sockets: links record what runs where and
-/// answer as a script says.
+/// A database group without sockets: links record which statements run where
+/// and answer as a script decides.
 namespace redwinggw::session::testing {
 
-/// One statement as an endpoint saw it.
+/// One statement as an endpoint received it.
 struct received_statement {
   std::string Endpoint;
   std::string Customer;
@@ -30,7 +30,7 @@
   /// Answers the next statements; afterwards all succeed.
   std::function<std::optional<exchange>(const received_statement &)> Script;
   std::vector<received_statement> Received;
-  /// The endpoint takes no connection above so many.
+  /// The endpoints accept at most so many connections.
   std::size_t MaxConnections = SIZE_MAX;
   std::size_t Connected = 0;
   std::size_t Refusals = 0;
@@ -142,11 +142,12 @@
   bool Usable = true;
 };
 
-/// A core before one service "s" with the endpoints p (primary), r1 and r2.
+/// A session core in front of one service "s" with the endpoints p (primary),
+/// r1 and r2.
 struct core_fixture {
   core_fixture() : core_fixture(OwnContext, OwnGroup) {}
 
-  /// A core that shares its loop and its endpoints with others.
+  /// A core that shares its event loop and its endpoints with others.
   core_fixture(boost::asio::io_context &Context, fake_group &Group)
       : Context(Context), Group(Group),
         Set(Context.get_executor(), "z1",
@@ -210,13 +211,13 @@
     return Session;
   }
 
-  /// Whether the last session was refused so.
+  /// Whether the last session was refused with \p Code.
   bool openedWith(answer_code Code) const {
     return OpenError && OpenError->Code == Code;
   }
 
-  /// Runs one statement to its answer, and the loop until it is idle. A shared
-  /// loop has work for ever: it is left with the answer.
+  /// Runs one statement to its answer, and the event loop until it is idle. A
+  /// shared loop always has work: it is left with the answer.
   answer run(caller_session &Session, statement_kind Kind, std::string Text,
              std::string Name = {}, std::string Operand = {}) {
     statement Statement{"id" + std::to_string(++LastId), Kind, std::move(Text),
@@ -254,7 +255,7 @@
   route_table_ptr Routes;
   std::optional<primary_lease> PrimaryLease = primary_lease{"s", "p", 1};
   bool Admitted = true;
-  /// Operations whose part of the rate was given back.
+  /// Operations that were refunded to the rate.
   unsigned Returned = 0;
   std::optional<answer_error> OpenError;
   std::vector<std::string> Problems;
--- a/tests/session/forwarding_codec_test.cpp
+++ b/tests/session/forwarding_codec_test.cpp
@@ -79,7 +79,8 @@
             Error->Reason == "a reason");
 }
 
-// Anybody who reaches the port could otherwise run statements as any customer.
+// Without this check anybody who reaches the port could run statements as any
+// customer.
 Test(forwarding_codec, refuses_another_secret) {
   cr_assert(!decodeRequest("guessed", encodeRequest(Secret, fullRequest())));
   cr_assert(!decodeReply("guessed", encodeReply(Secret, fullReply())));
@@ -96,8 +97,8 @@
   }
 }
 
-// An instance of another version signs rightly but speaks otherwise: whatever
-// its bytes say, reading them must end, in bounded memory.
+// An instance of another version signs correctly but encodes differently:
+// whatever its bytes are, decoding them must end, in bounded memory.
 Test(forwarding_codec, survives_signed_garbage) {
   std::mt19937 Random(4711);
   const std::string SignedRequest = encodeRequest(Secret, fullRequest());
--- a/tests/session/forwarding_test.cpp
+++ b/tests/session/forwarding_test.cpp
@@ -17,8 +17,8 @@
 
 constexpr std::string_view Secret = "secret";
 
-/// An owner of all endpoints and instances that pass their statements on to
-/// it, over real connections, in one loop.
+/// An owner of all endpoints and instances that forward their statements to it,
+/// over real connections, in one event loop.
 struct forwarding_fleet {
   explicit forwarding_fleet(std::size_t Instances = 1)
       : Owner(Context, Group),
@@ -49,7 +49,7 @@
 
   core_fixture &first() { return Instances.front(); }
 
-  /// Takes a turn on the slots. Precondition: one is free.
+  /// Takes a slot. Precondition: one is free.
   slot_grant take(const pool_ptr &Pool) {
     slot_grant Grant;
     boost::asio::co_spawn(
@@ -86,9 +86,9 @@
 
 } // namespace
 
-// Callers at nine instances, of two customers, write and read in turn. Each
-// customer needs a connection to an endpoint, and not each instance one for
-// each customer: that would be eighteen to the primary alone.
+// Callers of two customers write and read at nine instances. Each customer
+// needs one connection to an endpoint, not one for each instance: that would be
+// eighteen to the primary alone.
 Test(forwarding, serves_many_instances_over_few_connections) {
   forwarding_fleet Fleet(9);
   constexpr std::size_t Rounds = 20;
@@ -106,7 +106,7 @@
 }
 
 // A session's values and prepared statements go with each of its statements,
-// and another session's never show.
+// and another session's are never in force.
 Test(forwarding, sets_up_the_session_where_the_connection_is) {
   forwarding_fleet Fleet;
   core_fixture &Instance = Fleet.first();
@@ -152,9 +152,9 @@
   cr_assert(Fleet.Server.pinnedLinks() == 0);
 }
 
-// A user pays. The owner passes the payment on and dies before its answer is
-// there: the payment may have run. It must not be sent again, by another way
-// either, nor be called "not run".
+// The owner forwards a payment and dies before the answer is there: the payment
+// may have run. It must not be sent again, by another path either, nor be
+// reported as not run.
 Test(forwarding, never_retries_a_write_whose_owner_died) {
   forwarding_fleet Fleet;
   core_fixture &Instance = Fleet.first();
@@ -168,7 +168,7 @@
   cr_assert(Fleet.Group.callerStatements().size() == 1);
 }
 
-// The same for a read: its caller sees nothing of it.
+// The same for a read: it is retried, and its caller sees no error.
 Test(forwarding, retries_a_read_whose_owner_died) {
   forwarding_fleet Fleet;
   core_fixture &Instance = Fleet.first();
@@ -184,8 +184,8 @@
   cr_assert(Fleet.Group.callerStatements().size() == 2);
 }
 
-// The owner was stopped, and the list does not tell yet. A write that could
-// not be handed over has not run: the caller's instance goes to the endpoint
+// The owner was stopped, and the list does not show it yet. A write that could
+// not be forwarded has not run: the caller's instance connects to the endpoint
 // itself.
 Test(forwarding, connects_directly_when_the_owner_is_gone) {
   forwarding_fleet Fleet;
@@ -197,8 +197,8 @@
   cr_assert(!Fleet.Links.front()->isUsable("owner", base::now()));
 }
 
-// A write waits at the owner while the primary is replaced, and the owner knows
-// already: it must not reach the old primary any more.
+// A write waits at the owner while the primary is replaced, and the owner
+// already knows: the write must not reach the old primary any more.
 Test(forwarding, does_not_send_to_a_primary_that_the_owner_knows_is_replaced) {
   forwarding_fleet Fleet;
   core_fixture &Instance = Fleet.first();
@@ -210,8 +210,8 @@
   cr_assert(Fleet.Owner.Set.Pools.at("p")->connects() == 0);
 }
 
-// The primary is replaced while a passed-on write is under way. The owner has
-// the answer; the caller's instance must not pass it on as a success.
+// The primary is replaced while a forwarded write is in progress. The owner has
+// the answer; the caller's instance must not report it as a success.
 Test(forwarding, does_not_acknowledge_a_write_of_a_replaced_primary) {
   forwarding_fleet Fleet;
   core_fixture &Instance = Fleet.first();
@@ -225,7 +225,7 @@
 }
 
 // An instance dies with a transaction open. Its connection at the owner is
-// closed, which rolls back, and is never given to another session.
+// closed, which rolls back, and is never used for another session.
 Test(forwarding, rolls_back_for_an_instance_that_died) {
   forwarding_fleet Fleet(2);
   caller_session Left = Fleet.first().open("strict");
@@ -257,9 +257,9 @@
   cr_assert(Fleet.Group.Connections == 1);
 }
 
-// A transaction's statement finds no turn at the owner in its time. Its caller
-// is told that the transaction is aborted. The owner still held its connection
-// for that way, and ran the next statement on it, of another customer.
+// A transaction's statement gets no slot at the owner in time, and its caller
+// is told that the transaction is aborted. Guards against an owner that still
+// keeps the connection pinned and runs another customer's next statement on it.
 Test(forwarding, ends_a_transaction_that_gets_no_slot) {
   forwarding_fleet Fleet;
   core_fixture &Instance = Fleet.first();
@@ -282,8 +282,8 @@
   cr_assert(Last.Customer == "bolt" && Last.Connection != Former);
 }
 
-// An instance has just started: the others know it and pass on a transaction,
-// and it has not read the configuration yet.
+// An instance has just started: the others know it and forward a transaction to
+// it before it has read the configuration.
 Test(forwarding, serves_transactions_before_the_owner_has_a_configuration) {
   forwarding_fleet Fleet;
   core_fixture &Instance = Fleet.first();
@@ -295,7 +295,8 @@
   cr_assert(!Instance.run(Session, statement_kind::Commit, "COMMIT").Error);
 }
 
-// Guards against avoiding an endpoint for what its owner learned meanwhile.
+// Guards against avoiding an endpoint because its owner lost the lease
+// meanwhile.
 Test(forwarding, does_not_blame_an_endpoint_for_a_lease_that_the_owner_lost) {
   forwarding_fleet Fleet;
   core_fixture &Instance = Fleet.first();
--- a/tests/session/freshness_test.cpp
+++ b/tests/session/freshness_test.cpp
@@ -30,8 +30,8 @@
 
 } // namespace
 
-// A read accepts data up to 1.5 s old: what was acknowledged before that must
-// be in it, and no more is asked for.
+// A read accepts data up to 1.5 s old: it must include what was acknowledged
+// before that, and no more is required.
 Test(freshness, requires_the_oldest_sample_inside_the_bound) {
   const freshness Freshness = threeSamples();
   const instant Now = Start + milliseconds(2100);
@@ -41,7 +41,7 @@
             log_point({1, 10}));
 }
 
-// Nothing was heard of the primary for longer than the bound: what it has
+// The primary has not answered for longer than the bound: what it has
 // acknowledged since is not known, so no replica may serve.
 Test(freshness, has_no_point_without_a_recent_sample) {
   const freshness Freshness = threeSamples();
@@ -50,8 +50,8 @@
   cr_assert(!requiredPoint(freshness(), milliseconds(1500), Start));
 }
 
-// Answers cross: one that was sent earlier arrives later, and must not pass
-// for a young one.
+// Answers arrive out of order: one to an earlier statement arrives later, and
+// must not count as a recent sample.
 Test(freshness, ignores_answers_out_of_order) {
   freshness Freshness = threeSamples();
   addSample(Freshness, {Start + milliseconds(500), {1, 12}},
--- a/tests/session/handover_test.cpp
+++ b/tests/session/handover_test.cpp
@@ -32,7 +32,8 @@
 
 } // namespace
 
-// Heartbeats cross: news of an older agreement arrives after a newer one.
+// Heartbeats arrive out of order: the report of an older claim arrives after
+// that of a newer one.
 Test(primary_claims, never_go_back) {
   primary_claims Claims;
   cr_assert(applyClaim(Claims, claim(7, true, "p"), Start));
@@ -56,27 +57,27 @@
   cr_assert(causeToMove(View, Limits, Start) == move_cause::None);
   View.Suspects = 2;
   cr_assert(causeToMove(View, Limits, Start) == move_cause::Failed);
-  // Alone, an instance has to go by what it sees itself.
+  // Alone, an instance has to rely on what it observes itself.
   View.Instances = 1;
   View.Suspects = 1;
   cr_assert(causeToMove(View, Limits, Start) == move_cause::Failed);
 }
 
-// A primary announces that it leaves: it is replaced while it still serves.
+// A primary announces that it shuts down: it is replaced while it still serves.
 Test(handover, is_begun_before_a_draining_primary_goes) {
   const endpoint_entry Entry = entry(true);
   const handover_view View{nullptr, "p", &Entry, {}, 6, 0, {}};
   cr_assert(causeToMove(View, Limits, Start) == move_cause::Draining);
 }
 
-// The orderer is killed midway: somebody else has to finish its work, or the
+// The orderer is killed during a move: another one has to finish it, or the
 // service stays without a primary.
 Test(handover, is_finished_by_another_orderer) {
   const primary_claims::known Claim{claim(7, true, "p"), Start};
   handover_view View{&Claim, "p", nullptr, {}, 6, 0, {}};
   cr_assert(causeToMove(View, Limits, Start) == move_cause::None);
-  // Right after a partition or a start nobody has been heard yet: that is no
-  // reason for a second orderer to come between.
+  // Right after a partition or a start no heartbeats have arrived yet: that is
+  // no reason for a second orderer to interfere.
   View.OrdererGoneSince = Start;
   cr_assert(causeToMove(View, Limits, Start + milliseconds(300)) ==
             move_cause::None);
@@ -89,16 +90,17 @@
             move_cause::Unfinished);
 }
 
-// An instance is cut off, with callers that write to the old primary. Nobody
-// may be promoted before that instance's right is over; and never on the word
-// of less than half: the others may still hear a majority among themselves.
+// An instance is cut off, with callers that write to the old primary. No
+// endpoint may be promoted before that instance's lease has expired, and never
+// with acknowledgements of less than half: the others may still be a majority
+// among themselves.
 Test(handover, waits_until_leases_of_silent_instances_expire) {
   const auto Over = Start + Limits.ReadingValidFor + milliseconds(1);
   cr_assert(mayPromote({Start, true, Start}, Limits, Start));
   cr_assert(!mayPromote({Start, false, Start}, Limits, Start));
   cr_assert(mayPromote({Start, false, Start}, Limits, Over));
-  // Half of them, late: their last heartbeats from before still count
-  // elsewhere.
+  // Half of them, late: their last heartbeats from before are still valid at
+  // the other instances.
   cr_assert(!mayPromote({Start, false, Over - milliseconds(10)}, Limits, Over));
   cr_assert(!mayPromote({Start, false, {}}, Limits,
                         Start + std::chrono::seconds(60)));
@@ -113,10 +115,11 @@
   cr_assert(chooseTarget({}, std::nullopt) == nullptr);
 }
 
-// An orderer has promoted a replica and is cut off before it can tell. The next
-// one begins anew; the replicas are too busy to answer it, and the old primary,
-// which has not yet heard of the new one, says that it leads. A user's write
-// that it then confirmed would be rolled back a second later.
+// An orderer has promoted a replica and is cut off before it can report that.
+// The next one starts again; the replicas are too busy to answer it, and the
+// old primary, which has no contact with the new one yet, still reports the
+// primary role. Guards against a write that it would then confirm and that
+// would be rolled back a second later.
 Test(handover, keeps_the_old_primary_only_if_no_promotion_can_take_effect) {
   endpoint_status Leads;
   Leads.Role = endpoint_role::Primary;
--- a/tests/session/primary_claims_test.cpp
+++ b/tests/session/primary_claims_test.cpp
@@ -16,7 +16,7 @@
 
 } // namespace
 
-// Guards against acknowledging a move without telling the others of it.
+// Guards against acknowledging a move without reporting it to the others.
 Test(primary_claims, are_reported_whatever_services_are_configured) {
   primary_claims Claims;
   constexpr std::uint64_t Services = 20;
--- a/tests/session/replica_lag_test.cpp
+++ b/tests/session/replica_lag_test.cpp
@@ -18,16 +18,17 @@
   return {{1, Position}, Now - Age};
 }
 
-/// Reads at a replica, and those that it refused.
+/// Reads sent to a replica, those that it refused, and those that were sent
+/// elsewhere.
 struct read_counts {
   unsigned Tried = 0;
   unsigned Refused = 0;
   unsigned SentElsewhere = 0;
 };
 
-/// A session each 10 ms reads what it committed up to 300 ms ago, at a replica
-/// that has each commit \p Lag later; where the lag is known, it goes elsewhere
-/// when the replica probably has not got it.
+/// Every 10 ms a session reads what it committed up to 300 ms ago, at a replica
+/// that receives commits with a random lag. With \p UsesEstimate it reads
+/// elsewhere if the replica probably has not received the commit.
 read_counts simulate(bool UsesEstimate, unsigned Reads) {
   std::mt19937 Random(4711);
   std::lognormal_distribution<double> LagMs(4.0, 0.6);
@@ -62,12 +63,12 @@
   cr_assert(probablyLags(Lag, pointOfAge(milliseconds(50), Start), Start));
   noteReached(Lag, {1, 60});
   cr_assert(!probablyLags(Lag, pointOfAge(milliseconds(50), Start), Start));
-  // Crossed answers: an older one takes nothing back.
+  // Answers out of order: an older one does not lower the position.
   noteReached(Lag, {1, 40});
   cr_assert(!probablyLags(Lag, pointOfAge(milliseconds(50), Start), Start));
 }
 
-// Guards against asking replicas for a commit that they cannot have yet.
+// Guards against sending replicas reads of a commit that they cannot have yet.
 Test(replica_lag, learns_the_typical_lag) {
   constexpr unsigned Reads = 4000;
   const read_counts WithoutEstimate = simulate(false, Reads);
@@ -76,12 +77,12 @@
   const read_counts WithEstimate = simulate(true, Reads);
   cr_assert(WithEstimate.Refused * 40 < WithEstimate.Tried, "%u of %u",
             WithEstimate.Refused, WithEstimate.Tried);
-  // What it probably has is still read there.
+  // What the replica probably has is still read there.
   cr_assert(WithEstimate.Tried * 2 > Reads, "%u of %u", WithEstimate.Tried,
             Reads);
 }
 
-// Guards against asking in vain a replica that is seconds behind.
+// Guards against sending reads in vain to a replica that is seconds behind.
 Test(replica_lag, backs_off_from_a_replica_that_is_far_behind) {
   replica_lag Lag;
   unsigned Asked = 0;
--- a/tests/session/session_core_test.cpp
+++ b/tests/session/session_core_test.cpp
@@ -17,7 +17,7 @@
 
 } // namespace
 
-// The plain way: a write, then reads of the three kinds.
+// The regular path: a write, then reads at the three consistency levels.
 Test(session_core, serves_writes_at_the_primary_and_reads_at_replicas) {
   core_fixture Fixture;
   caller_session Strict = Fixture.open("strict");
@@ -43,8 +43,8 @@
   cr_assert(Fixture.openedWith(answer_code::Denied));
 }
 
-// A user's key is withdrawn while the session stays open: its next statement
-// must be denied and reach no endpoint, also inside a transaction.
+// A key is withdrawn while its session stays open: the next statement must be
+// denied and reach no endpoint, also inside a transaction.
 Test(session_core, denies_a_withdrawn_key_on_an_open_session) {
   core_fixture Fixture;
   caller_session Session = Fixture.open("strict");
@@ -114,7 +114,7 @@
             std::vector<std::string>({"SET a 1", "READ x", "RESET", "READ x"}));
 }
 
-// Two sessions prepare other statements under the same name.
+// Two sessions prepare different statements under the same name.
 Test(session_core, keeps_prepared_names_of_sessions_apart) {
   core_fixture Fixture;
   caller_session First = Fixture.open("strict");
@@ -131,8 +131,8 @@
   cr_assert(Own[1].Text == "EXECUTE p2 2 d");
 }
 
-// A user pays, and the connection breaks before the answer: the payment may
-// have run. It must not be repeated, nor be called "not run".
+// The connection breaks before a payment is answered: the payment may have run.
+// It must not be retried, nor be reported as not run.
 Test(session_core, never_retries_a_write_without_an_answer) {
   core_fixture Fixture;
   caller_session Session = Fixture.open("strict");
@@ -143,7 +143,8 @@
   cr_assert(Fixture.Group.callerStatements().size() == 1);
 }
 
-// The same for a read: it is repeated at another endpoint, unseen.
+// The same for a read: it is retried at another endpoint, and the caller sees
+// no error.
 Test(session_core, retries_a_read_elsewhere) {
   core_fixture Fixture;
   caller_session Warm = Fixture.open("strict");
@@ -160,7 +161,7 @@
 }
 
 // A write is refused as busy: that proves that it did not run, so it may be
-// tried again, and the caller sees only the success.
+// retried, and the caller sees only the success.
 Test(session_core, retries_a_write_that_did_not_run) {
   core_fixture Fixture;
   caller_session Session = Fixture.open("strict");
@@ -172,8 +173,8 @@
   cr_assert(!Fixture.write(Session).Error);
 }
 
-// The primary is replaced while a write is under way there. Its answer must
-// not be passed on as a success.
+// The primary is replaced while a write is in progress there. Its answer must
+// not be reported as a success.
 Test(session_core, does_not_acknowledge_a_write_of_a_replaced_primary) {
   core_fixture Fixture;
   caller_session Session = Fixture.open("strict");
@@ -201,8 +202,8 @@
   cr_assert(Answer.State == transaction_state::Idle);
 }
 
-// The same for a transaction that has only read: nothing can be kept, so the
-// caller is told that it may repeat it.
+// The same for a transaction that has only read: it has no effect, so the
+// caller is told that it may retry.
 Test(session_core, lets_a_lost_read_only_commit_be_retried) {
   core_fixture Fixture;
   caller_session Session = Fixture.open("strict");
@@ -218,7 +219,7 @@
 }
 
 // The connection of an open transaction breaks: nothing of it can commit any
-// more, and the caller may repeat it as a whole.
+// more, and the caller may retry it as a whole.
 Test(session_core, aborts_a_transaction_whose_connection_broke) {
   core_fixture Fixture;
   caller_session Session = Fixture.open("strict");
@@ -235,8 +236,8 @@
   cr_assert(!Answer.Error && Answer.State == transaction_state::Idle);
 }
 
-// A customer sends more than its rate: it is refused at once, with the time
-// to come back.
+// A customer exceeds its rate: it is refused at once, with the time after which
+// to retry.
 Test(session_core, refuses_over_the_rate_with_a_retry_time) {
   core_fixture Fixture;
   caller_session Session = Fixture.open("strict");
@@ -248,7 +249,7 @@
   cr_assert(Fixture.Group.Received.empty());
 }
 
-// No statement of one customer runs on a connection of another.
+// Statements of one customer never run on a connection of another.
 Test(session_core, keeps_customers_on_connections_of_their_own) {
   core_fixture Fixture;
   caller_session First = Fixture.open("strict");
@@ -260,9 +261,9 @@
   cr_assert(Own[1].Customer == "bolt");
 }
 
-// The endpoints are overloaded, and a user's attempts are refused as busy. Each
-// attempt counted against its customer's rate, though nothing ran: coming back
-// when there was room again, the user was refused for the rate.
+// The endpoints are overloaded and refuse a customer's attempts as busy. Guards
+// against charging such attempts to the customer's rate: when there was
+// capacity again, the customer was refused for exceeding it.
 Test(session_core, counts_only_what_may_have_run_against_the_rate) {
   core_fixture Fixture;
   caller_session Session = Fixture.open("strict");
@@ -280,8 +281,8 @@
   cr_assert(Fixture.Returned == 1);
 }
 
-// The same for transactions: one that found no endpoint, or was given up before
-// it needed one, has run nowhere.
+// The same for transactions: one that found no endpoint, or was ended before it
+// needed one, has not run.
 Test(session_core, counts_only_begun_transactions_against_the_rate) {
   core_fixture Fixture;
   caller_session Session = Fixture.open("strict");
@@ -302,7 +303,7 @@
   cr_assert(Fixture.Returned == 2);
 }
 
-// Guards against avoiding an endpoint because its primary was given up.
+// Guards against avoiding an endpoint because the lease on it was given up.
 Test(session_core, does_not_blame_an_endpoint_for_a_lost_lease) {
   core_fixture Fixture;
   caller_session Session = Fixture.open("strict");
--- a/tests/session/slot_queue_test.cpp
+++ b/tests/session/slot_queue_test.cpp
@@ -31,7 +31,7 @@
   return Ticket->Id;
 }
 
-/// How many statements of "flood" at \p Level end before \p Id starts.
+/// How many statements of "flood" at \p Level finish before \p Id starts.
 unsigned startsUntil(slot_queue &Queue, std::uint64_t Id, slot_level Level) {
   unsigned Starts = 0;
   std::uint64_t Started = 0;
@@ -49,7 +49,7 @@
   return Queue;
 }
 
-/// One statement of the played load.
+/// One statement of the generated load.
 struct arrival {
   instant At;
   slot_level Level;
@@ -58,7 +58,7 @@
 };
 
 /// Statements of two kinds in the proportion and with the times of order
-/// changes and confirmations, \p Load times what \p Slots can do.
+/// changes and confirmations, at \p Load times the capacity of \p Slots.
 std::vector<arrival> generatedLoad(double Load, unsigned Slots) {
   std::mt19937 Random(4711);
   constexpr double MeanWorkMs = 0.2 * 6 + 0.8 * 18;
@@ -94,8 +94,8 @@
   }
 };
 
-/// Plays \p Arrivals against \p Slots; a statement waits for its turn for at
-/// most \p QueueShare of its aim.
+/// Simulates \p Arrivals on \p Slots; a statement waits for a slot for at most
+/// \p QueueShare of its target.
 load_result simulate(const std::vector<arrival> &Arrivals, unsigned Slots,
                      double QueueShare) {
   slot_queue Queue;
@@ -117,7 +117,7 @@
           Run(Ticket->Id, Done.Until);
           continue;
         }
-        // Its time passed while it waited.
+        // Its deadline passed while it waited.
         ++Result.QueuedAndRefused;
         --Queue.Running;
       }
@@ -162,8 +162,8 @@
   cr_assert(next(Queue) == 1);
 }
 
-// A transaction holds a connection and locks; its next statement must not wait
-// behind new work of others.
+// An open transaction holds a connection and locks; its next statement must not
+// wait behind new work of others.
 Test(slot_queue, serves_open_transactions_first) {
   slot_queue Queue = busyQueue(1);
   add(Queue, levelOf(1), 1);
@@ -177,15 +177,15 @@
   cr_assert(Order == std::vector<std::uint64_t>({3, 2, 1}));
 }
 
-// One customer sends hundreds of urgent statements. What others declared as
-// less urgent still moves.
+// One customer sends hundreds of urgent statements. Less urgent ones of others
+// must still be served.
 Test(slot_queue, starts_the_lowest_level_at_intervals) {
   slot_queue Queue = busyQueue(1);
   for (std::uint64_t Id = 0; Id < 100; ++Id)
     add(Queue, levelOf(0), Id, "flood");
   add(Queue, levelOf(3), 1000, "calm");
   const unsigned Starts = startsUntil(Queue, 1000, slot_level::Normal);
-  cr_assert(Starts <= 10, "%u turns", Starts);
+  cr_assert(Starts <= 10, "%u starts", Starts);
 }
 
 Test(slot_queue, shares_a_level_between_customers) {
@@ -194,7 +194,7 @@
     add(Queue, slot_level::Low, Id, "flood");
   add(Queue, slot_level::Low, 1000, "calm");
   const unsigned Starts = startsUntil(Queue, 1000, slot_level::Low);
-  cr_assert(Starts < 10, "%u turns", Starts);
+  cr_assert(Starts < 10, "%u starts", Starts);
 }
 
 Test(slot_queue, removes_cancelled_statements) {
@@ -207,8 +207,8 @@
   cr_assert(next(Queue) == 2);
 }
 
-// A statement whose turn would come after its time is told so at once, so that
-// its caller can go elsewhere or come back while that still helps.
+// A statement that would get a slot only after its deadline is refused at once,
+// so that its caller can go elsewhere or retry while that still helps.
 Test(slot_queue, refuses_at_once_what_would_come_too_late) {
   slot_queue Queue = busyQueue(1);
   for (std::uint64_t Id = 0; Id < 10; ++Id) {
@@ -227,10 +227,10 @@
                 Start + milliseconds(100)));
 }
 
-// Both replicas of a service trail for a while, and its primary is asked for a
-// third more than its slots can do. Callers are served in time as far as the
-// slots go; the rest is refused, nearly always without having been held. Sent
-// on as it came, the same load leaves hardly anybody served in time.
+// Both replicas of a service lag for a while, and its primary is asked for a
+// third more than its slots can do. As many callers as the slots allow are
+// served in time; the rest is refused, nearly always without having waited.
+// With an unlimited wait the same load leaves hardly any caller served in time.
 Test(slot_queue, serves_in_time_what_the_slots_can_do_under_overload) {
   constexpr unsigned Slots = 3;
   constexpr double Load = 1.33;
@@ -240,8 +240,8 @@
   const double Possible = 1 / Load;
   cr_assert(static_cast<double>(Bounded.InTime) / All > 0.95 * Possible,
             "%zu in time of %zu", Bounded.InTime, Arrivals.size());
-  cr_assert(Bounded.QueuedAndRefused < Arrivals.size() / 20, "%zu held in vain",
-            Bounded.QueuedAndRefused);
+  cr_assert(Bounded.QueuedAndRefused < Arrivals.size() / 20,
+            "%zu refused after a wait", Bounded.QueuedAndRefused);
   constexpr double NoBound = 1e6;
   const load_result Unbounded = simulate(Arrivals, Slots, NoBound);
   cr_assert(2 * Unbounded.InTime < Bounded.InTime,
