--- a/packages/data/include/redwinggw/data/confirm.hpp
+++ b/packages/data/include/redwinggw/data/confirm.hpp
@@ -17,14 +17,14 @@
 /// What a request needs to know before it is answered.
 enum class confirm_kind {
   /// A majority holds the position: for writes.
-  Held,
+  Replicated,
   /// The same, and the term was in force after the request arrived: for reads
   /// on the primary.
-  HeldAndCurrent,
+  ReplicatedAndCurrent,
 };
 
 /// The two kinds of questions to a replica; at most one of each is open.
-enum class confirm_lane {
+enum class confirm_query_kind {
   /// Waits at the replica until it has received a position.
   Wait,
   /// Is answered at once; tells that the term is still in force.
@@ -35,14 +35,14 @@
 struct confirm_parameters {
   bool CheckMajority = true;
   bool CheckTerm = true;
-  bool CheckFresh = true;
+  bool CheckCurrent = true;
 };
 
 struct confirm_waiter {
   std::uint64_t Id = 0;
   base::term_number Term = 0;
   base::log_position Position = 0;
-  confirm_kind Kind = confirm_kind::Held;
+  confirm_kind Kind = confirm_kind::Replicated;
   base::instant Arrived;
 };
 
@@ -54,10 +54,10 @@
   base::log_position Position = 0;
   /// Latest time before a question that was answered in Term.
   base::instant CurrentAt;
-  bool WaitOpen = false;
-  bool CurrentOpen = false;
+  bool WaitQueryOpen = false;
+  bool CurrentQueryOpen = false;
   /// Its last answer confirmed nothing or did not come.
-  bool Unhelpful = false;
+  bool DelayNextQuery = false;
 };
 
 /// One group. Not thread safe.
@@ -75,13 +75,13 @@
 
 /// A question to send to \p Member; its answer goes to onConfirmAnswer, its
 /// failure to onConfirmFailure.
-struct confirm_question {
+struct confirm_query {
   base::endpoint_name Member;
-  confirm_lane Lane = confirm_lane::Current;
+  confirm_query_kind QueryKind = confirm_query_kind::Current;
   base::term_number Term = 0;
   base::log_position WaitReceived = 0;
   /// Send it after a pause: the member would only repeat itself at once.
-  bool Paced = false;
+  bool Delayed = false;
 };
 
 struct confirm_finished {
@@ -91,7 +91,7 @@
 
 struct confirm_actions {
   std::vector<confirm_finished> Finished;
-  std::vector<confirm_question> Questions;
+  std::vector<confirm_query> Queries;
 };
 
 /// Number of members that must agree, the primary included.
@@ -114,16 +114,16 @@
 /// Forgets a waiter, whose deadline passed.
 void dropWaiter(confirm_state &State, std::uint64_t Id);
 
-/// Takes in an answer to a question that was sent at \p AskedAt. \p Lane is
-/// empty for states that came another way.
+/// Takes in an answer to a question that was sent at \p AskedAt. \p QueryKind
+/// is empty for states that came another way.
 confirm_actions onConfirmAnswer(confirm_state &State,
                                 const endpoint_state &Answer,
-                                std::optional<confirm_lane> Lane,
+                                std::optional<confirm_query_kind> QueryKind,
                                 base::instant AskedAt);
 
 /// Notes that a question got no answer; questions still needed come back.
 confirm_actions onConfirmFailure(confirm_state &State,
                                  const base::endpoint_name &Member,
-                                 confirm_lane Lane);
+                                 confirm_query_kind QueryKind);
 
 } // namespace redwinggw::data
--- a/packages/data/include/redwinggw/data/group_service.hpp
+++ b/packages/data/include/redwinggw/data/group_service.hpp
@@ -30,7 +30,7 @@
   /// Longest wait at a replica for a position.
   base::milliseconds WaitAtReplica{250};
   /// Pause before a question that the last answer makes look hopeless.
-  base::milliseconds Pace{10};
+  base::milliseconds QueryDelay{10};
   /// Orders start after a random part of this, so that instances do not race.
   base::milliseconds Jitter{100};
   detector_parameters Detector;
@@ -80,7 +80,7 @@
   base::task<base::result<void>>
   confirm(base::group_name Group, base::term_number Term,
           base::log_position Position, base::instant Deadline,
-          confirm_kind Kind = confirm_kind::HeldAndCurrent);
+          confirm_kind Kind = confirm_kind::ReplicatedAndCurrent);
 
   /// Waits until the group has a primary that is not suspected here. Fails
   /// with errc::NoPrimary at \p Deadline.
--- a/packages/data/src/confirm.cpp
+++ b/packages/data/src/confirm.cpp
@@ -9,8 +9,9 @@
 using base::errc;
 using base::failure;
 
-bool &openFlag(confirm_member &Member, confirm_lane Lane) {
-  return Lane == confirm_lane::Wait ? Member.WaitOpen : Member.CurrentOpen;
+bool &openFlag(confirm_member &Member, confirm_query_kind QueryKind) {
+  return QueryKind == confirm_query_kind::Wait ? Member.WaitQueryOpen
+                                               : Member.CurrentQueryOpen;
 }
 
 confirm_member *memberNamed(confirm_state &State,
@@ -32,7 +33,7 @@
 
 bool isCurrent(const confirm_state &State, const confirm_member &Member,
                const confirm_waiter &Waiter) {
-  if (Waiter.Kind == confirm_kind::Held || !State.Parameters.CheckFresh)
+  if (Waiter.Kind == confirm_kind::Replicated || !State.Parameters.CheckCurrent)
     return true;
   // A replaced primary still answers reads from its old data. An answer that
   // was asked for after the request arrived shows that no majority had been
@@ -64,7 +65,7 @@
   return State.Parameters.CheckTerm && State.Term > Waiter.Term;
 }
 
-void finish(confirm_state &State, confirm_actions &Actions) {
+void finishWaiters(confirm_state &State, confirm_actions &Actions) {
   const auto IsOver = [&](const confirm_waiter &Waiter) {
     if (isConfirmed(State, Waiter)) {
       Actions.Finished.push_back({Waiter.Id, {}});
@@ -82,8 +83,8 @@
 /// The lowest position that a waiter still needs from \p Member. The lowest,
 /// so that the first waiter is not kept back by later ones; the answer tells
 /// all that was received and so serves those too.
-std::optional<confirm_waiter> nextWaiting(const confirm_state &State,
-                                          const confirm_member &Member) {
+std::optional<confirm_waiter> lowestMissing(const confirm_state &State,
+                                            const confirm_member &Member) {
   auto Needing = State.Waiters | std::views::filter([&](const auto &Waiter) {
                    return !holds(State, Member, Waiter);
                  });
@@ -94,8 +95,8 @@
   return *Lowest;
 }
 
-std::optional<confirm_waiter> nextCurrent(const confirm_state &State,
-                                          const confirm_member &Member) {
+std::optional<confirm_waiter> firstUnproven(const confirm_state &State,
+                                            const confirm_member &Member) {
   const auto Found =
       std::ranges::find_if(State.Waiters, [&](const auto &Waiter) {
         return !isCurrent(State, Member, Waiter);
@@ -105,39 +106,39 @@
   return *Found;
 }
 
-void ask(confirm_state &State, confirm_actions &Actions) {
+void createQueries(confirm_state &State, confirm_actions &Actions) {
   for (confirm_member &Member : State.Members) {
     if (Member.Name == State.Primary)
       continue;
-    const auto Waiting = nextWaiting(State, Member);
-    if (Waiting && !Member.WaitOpen) {
-      Member.WaitOpen = true;
-      Actions.Questions.push_back({Member.Name, confirm_lane::Wait,
-                                   Waiting->Term, Waiting->Position,
-                                   Member.Unhelpful});
+    const auto Waiting = lowestMissing(State, Member);
+    if (Waiting && !Member.WaitQueryOpen) {
+      Member.WaitQueryOpen = true;
+      Actions.Queries.push_back({Member.Name, confirm_query_kind::Wait,
+                                 Waiting->Term, Waiting->Position,
+                                 Member.DelayNextQuery});
     }
-    const auto Current = nextCurrent(State, Member);
-    if (Current && !Member.CurrentOpen) {
-      Member.CurrentOpen = true;
-      Actions.Questions.push_back({Member.Name, confirm_lane::Current,
-                                   Current->Term, 0, Member.Unhelpful});
+    const auto Current = firstUnproven(State, Member);
+    if (Current && !Member.CurrentQueryOpen) {
+      Member.CurrentQueryOpen = true;
+      Actions.Queries.push_back({Member.Name, confirm_query_kind::Current,
+                                 Current->Term, 0, Member.DelayNextQuery});
     }
   }
 }
 
-confirm_actions advance(confirm_state &State) {
+confirm_actions updateWaiters(confirm_state &State) {
   confirm_actions Actions;
-  finish(State, Actions);
-  ask(State, Actions);
+  finishWaiters(State, Actions);
+  createQueries(State, Actions);
   return Actions;
 }
 
-void note(confirm_state &State, confirm_member &Member,
-          const endpoint_state &Answer, base::instant AskedAt) {
+void recordAnswer(confirm_state &State, confirm_member &Member,
+                  const endpoint_state &Answer, base::instant AskedAt) {
   State.Term = std::max(State.Term, Answer.Term);
   if (Answer.Role == endpoint_role::Primary && Answer.Term == State.Term)
     State.Primary = Answer.Name;
-  Member.Unhelpful = !confirmsTerm(Answer, State.Term);
+  Member.DelayNextQuery = !confirmsTerm(Answer, State.Term);
   const bool Counts =
       confirmsTerm(Answer, Answer.Term) ||
       (!State.Parameters.CheckTerm && Answer.Role != endpoint_role::Primary);
@@ -183,7 +184,7 @@
 confirm_actions addWaiter(confirm_state &State, confirm_waiter &Waiter) {
   Waiter.Id = ++State.LastId;
   State.Waiters.push_back(Waiter);
-  return advance(State);
+  return updateWaiters(State);
 }
 
 void dropWaiter(confirm_state &State, std::uint64_t Id) {
@@ -192,26 +193,26 @@
 
 confirm_actions onConfirmAnswer(confirm_state &State,
                                 const endpoint_state &Answer,
-                                std::optional<confirm_lane> Lane,
+                                std::optional<confirm_query_kind> QueryKind,
                                 base::instant AskedAt) {
   confirm_member *Member = memberNamed(State, Answer.Name);
   if (Member == nullptr)
     return {};
-  if (Lane)
-    openFlag(*Member, *Lane) = false;
-  note(State, *Member, Answer, AskedAt);
-  return advance(State);
+  if (QueryKind)
+    openFlag(*Member, *QueryKind) = false;
+  recordAnswer(State, *Member, Answer, AskedAt);
+  return updateWaiters(State);
 }
 
 confirm_actions onConfirmFailure(confirm_state &State,
                                  const base::endpoint_name &Name,
-                                 confirm_lane Lane) {
+                                 confirm_query_kind QueryKind) {
   confirm_member *Member = memberNamed(State, Name);
   if (Member == nullptr)
     return {};
-  openFlag(*Member, Lane) = false;
-  Member->Unhelpful = true;
-  return advance(State);
+  openFlag(*Member, QueryKind) = false;
+  Member->DelayNextQuery = true;
+  return updateWaiters(State);
 }
 
 } // namespace redwinggw::data
--- a/packages/data/src/group_failover.cpp
+++ b/packages/data/src/group_failover.cpp
@@ -49,7 +49,7 @@
   return {Lost ? commit_outcome::Conflict : commit_outcome::Unknown, 0};
 }
 
-base::task<void> carryOut(order_pointer Order, commit_row Command) {
+base::task<void> perform(order_pointer Order, commit_row Command) {
   const std::string Key = recordKey(Order->Group);
   storage::commit_request Request;
   if (Command.Version)
@@ -81,7 +81,7 @@
   co_return Row;
 }
 
-base::task<void> carryOut(order_pointer Order, read_row) {
+base::task<void> perform(order_pointer Order, read_row) {
   row_read Answer;
   Answer.Row = co_await readRecord(Order->State, Order->Group);
   process(Order, Answer);
@@ -97,14 +97,14 @@
   Event.Request = Request;
   if (Answer) {
     Event.State = *Answer;
-    takeState(Order->State, Order->Group, *Answer, {}, AskedAt);
+    applyState(Order->State, Order->Group, *Answer, {}, AskedAt);
   } else {
     Event.Refused = kindOf(Answer.error()) == errc::TermReplaced;
   }
   process(Order, Event);
 }
 
-base::task<void> carryOut(order_pointer Order, seal_member Command) {
+base::task<void> perform(order_pointer Order, seal_member Command) {
   const state_pointer State = Order->State;
   const base::instant AskedAt = base::now();
   const base::instant Deadline = AskedAt + State->Options.PollDeadline;
@@ -119,7 +119,7 @@
   answered(Order, Command.Member.Name, member_request::Seal, Answer, AskedAt);
 }
 
-base::task<void> carryOut(order_pointer Order, promote_member Command) {
+base::task<void> perform(order_pointer Order, promote_member Command) {
   const state_pointer State = Order->State;
   const base::instant AskedAt = base::now();
   const base::instant Deadline = AskedAt + State->Options.PollDeadline;
@@ -147,17 +147,17 @@
       co_await follow(Client, Command.Term, Command.Order, Command.Primary,
                       State->Instance, Deadline);
   if (Answer)
-    takeState(State, Group, *Answer, {}, AskedAt);
+    applyState(State, Group, *Answer, {}, AskedAt);
 }
 
-base::task<void> carryOut(order_pointer Order, follow_member Command) {
+base::task<void> perform(order_pointer Order, follow_member Command) {
   return tellToFollow(Order->State, Order->Group, std::move(Command));
 }
 
 void execute(const order_pointer &Order,
              const std::vector<failover_command> &Commands) {
   const auto Spawn = [&](const auto &Command) {
-    asio::co_spawn(Order->State->Executor, carryOut(Order, Command),
+    asio::co_spawn(Order->State->Executor, perform(Order, Command),
                    asio::detached);
   };
   for (const failover_command &Command : Commands)
--- a/packages/data/src/group_poll.cpp
+++ b/packages/data/src/group_poll.cpp
@@ -29,8 +29,8 @@
   return Known != nullptr && Known->Address == Endpoint.Address;
 }
 
-void takeFailure(group_service_state &State, const base::group_name &Name,
-                 const base::endpoint_name &Member, base::instant AskedAt) {
+void applyFailure(group_service_state &State, const base::group_name &Name,
+                  const base::endpoint_name &Member, base::instant AskedAt) {
   watched_group *Group = findGroup(State, Name);
   if (Group == nullptr)
     return;
@@ -39,42 +39,42 @@
 }
 
 /// Sends one question of the coalescer.
-base::task<void> askReplica(state_pointer State, base::group_name Name,
-                            confirm_question Question) {
-  if (Question.Paced)
-    co_await pauseFor(State->Executor, State->Options.Pace);
+base::task<void> queryReplica(state_pointer State, base::group_name Name,
+                              confirm_query Query) {
+  if (Query.Delayed)
+    co_await pauseFor(State->Executor, State->Options.QueryDelay);
   watched_group *Group = findGroup(*State, Name);
   const control::endpoint *Endpoint =
-      Group == nullptr ? nullptr : findEndpoint(*Group, Question.Member);
+      Group == nullptr ? nullptr : findEndpoint(*Group, Query.Member);
   if (Endpoint == nullptr)
     co_return;
   const http::address Address = Endpoint->Address;
-  const std::pair Key(Question.Member, Question.Lane);
+  const std::pair Key(Query.Member, Query.QueryKind);
   // Taken out while in use, so that a member that leaves and comes back in the
   // meantime gets a connection of its own.
-  auto Node = Group->Lanes.extract(Key);
+  auto Node = Group->QueryClients.extract(Key);
   http::client Client =
       Node.empty() ? http::client(State->Executor) : std::move(Node.mapped());
   status_request Request;
-  Request.WaitReceived = Question.WaitReceived;
-  Request.Term = Question.Term;
-  if (Question.Lane == confirm_lane::Wait)
+  Request.WaitReceived = Query.WaitReceived;
+  Request.Term = Query.Term;
+  if (Query.QueryKind == confirm_query_kind::Wait)
     Request.Timeout = State->Options.WaitAtReplica;
   const base::instant AskedAt = base::now();
   const base::instant Deadline =
       AskedAt + Request.Timeout + State->Options.PollDeadline;
   const auto Answer =
-      co_await askStatus(State, Client, Address, Request, Deadline);
+      co_await queryStatus(State, Client, Address, Request, Deadline);
   Group = findGroup(*State, Name);
   if (Group == nullptr)
     co_return;
   if (Client.isOpen())
-    Group->Lanes.insert_or_assign(Key, std::move(Client));
+    Group->QueryClients.insert_or_assign(Key, std::move(Client));
   if (Answer)
-    takeState(State, Name, *Answer, Question.Lane, AskedAt);
+    applyState(State, Name, *Answer, Query.QueryKind, AskedAt);
   else
-    carryOut(State, Name,
-             onConfirmFailure(Group->Confirm, Question.Member, Question.Lane));
+    perform(State, Name,
+            onConfirmFailure(Group->Confirm, Query.Member, Query.QueryKind));
 }
 
 } // namespace
@@ -85,13 +85,13 @@
   co_await Timer.async_wait(Token);
 }
 
-void wake(waiting &Waiting, base::result<void> Outcome) {
+void wake(pending_wait &Waiting, base::result<void> Outcome) {
   Waiting.Outcome = std::move(Outcome);
   Waiting.Timer.cancel();
 }
 
 base::task<std::optional<base::result<void>>>
-waitFor(std::shared_ptr<waiting> Waiting, base::instant Deadline) {
+waitFor(std::shared_ptr<pending_wait> Waiting, base::instant Deadline) {
   if (!Waiting->Outcome) {
     Waiting->Timer.expires_at(base::timerPoint(Deadline));
     co_await Waiting->Timer.async_wait(Token);
@@ -100,8 +100,8 @@
 }
 
 base::task<base::result<endpoint_state>>
-askStatus(state_pointer State, http::client &Client, http::address Address,
-          status_request Request, base::instant Deadline) {
+queryStatus(state_pointer State, http::client &Client, http::address Address,
+            status_request Request, base::instant Deadline) {
   if (!Client.isOpen()) {
     Client = http::client(State->Executor);
     const auto Connected = co_await Client.connect(Address, Deadline);
@@ -116,36 +116,37 @@
   co_return Answer;
 }
 
-void carryOut(const state_pointer &State, const base::group_name &Name,
-              confirm_actions Actions) {
+void perform(const state_pointer &State, const base::group_name &Name,
+             confirm_actions Actions) {
   watched_group *Group = findGroup(*State, Name);
   if (Group == nullptr)
     return;
   for (confirm_finished &Finished : Actions.Finished) {
-    const auto Found = Group->Confirming.find(Finished.Id);
-    if (Found != Group->Confirming.end())
+    const auto Found = Group->ConfirmationWaits.find(Finished.Id);
+    if (Found != Group->ConfirmationWaits.end())
       wake(*Found->second, std::move(Finished.Outcome));
   }
-  for (confirm_question &Question : Actions.Questions)
-    asio::co_spawn(State->Executor,
-                   askReplica(State, Name, std::move(Question)),
+  for (confirm_query &Query : Actions.Queries)
+    asio::co_spawn(State->Executor, queryReplica(State, Name, std::move(Query)),
                    asio::detached);
 }
 
-void takeState(const state_pointer &State, const base::group_name &Name,
-               const endpoint_state &Told, std::optional<confirm_lane> Lane,
-               base::instant AskedAt) {
+void applyState(const state_pointer &State, const base::group_name &Name,
+                const endpoint_state &Reported,
+                std::optional<confirm_query_kind> QueryKind,
+                base::instant AskedAt) {
   watched_group *Group = findGroup(*State, Name);
   if (Group == nullptr)
     return;
   const auto Before = std::pair(Group->View.Term, Group->View.Primary);
-  observe(Group->View, Told, AskedAt);
+  observe(Group->View, Reported, AskedAt);
   observeGroup(Group->Detector, Group->View, base::now());
-  carryOut(State, Name, onConfirmAnswer(Group->Confirm, Told, Lane, AskedAt));
+  perform(State, Name,
+          onConfirmAnswer(Group->Confirm, Reported, QueryKind, AskedAt));
   if (hasPrimary(*State, *Group)) {
-    for (const auto &Waiting : Group->ForPrimary)
+    for (const auto &Waiting : Group->PrimaryWaits)
       wake(*Waiting, {});
-    Group->ForPrimary.clear();
+    Group->PrimaryWaits.clear();
   }
   if (Before != std::pair(Group->View.Term, Group->View.Primary))
     for (const auto &Hook : State->Hooks)
@@ -159,12 +160,12 @@
     const base::instant AskedAt = base::now();
     const base::instant Deadline = AskedAt + State->Options.PollDeadline;
     const status_request Request;
-    const auto Answer =
-        co_await askStatus(State, Client, Endpoint.Address, Request, Deadline);
+    const auto Answer = co_await queryStatus(State, Client, Endpoint.Address,
+                                             Request, Deadline);
     if (Answer)
-      takeState(State, Group, *Answer, {}, AskedAt);
+      applyState(State, Group, *Answer, {}, AskedAt);
     else
-      takeFailure(*State, Group, Endpoint.Name, AskedAt);
+      applyFailure(*State, Group, Endpoint.Name, AskedAt);
     const auto Rest = AskedAt + State->Options.PollEvery - base::now();
     if (Rest > base::microseconds(0))
       co_await pauseFor(State->Executor, Rest);
--- a/packages/data/src/group_service.cpp
+++ b/packages/data/src/group_service.cpp
@@ -103,14 +103,14 @@
   if (Found == nullptr)
     co_return failure(errc::NotFound, "group " + Group);
   const state_pointer Shared = State;
-  const auto Waiting = std::make_shared<waiting>(Shared->Executor);
+  const auto Waiting = std::make_shared<pending_wait>(Shared->Executor);
   confirm_waiter Waiter{0, Term, Position, Kind, base::now()};
   confirm_actions Actions = addWaiter(Found->Confirm, Waiter);
-  Found->Confirming.emplace(Waiter.Id, Waiting);
-  carryOut(Shared, Group, std::move(Actions));
+  Found->ConfirmationWaits.emplace(Waiter.Id, Waiting);
+  perform(Shared, Group, std::move(Actions));
   const auto Outcome = co_await waitFor(Waiting, Deadline);
   if (watched_group *Still = findGroup(*Shared, Group)) {
-    Still->Confirming.erase(Waiter.Id);
+    Still->ConfirmationWaits.erase(Waiter.Id);
     dropWaiter(Still->Confirm, Waiter.Id);
   }
   if (!Outcome)
@@ -126,11 +126,11 @@
   if (hasPrimary(*State, *Found))
     co_return base::result<void>();
   const state_pointer Shared = State;
-  const auto Waiting = std::make_shared<waiting>(Shared->Executor);
-  Found->ForPrimary.push_back(Waiting);
+  const auto Waiting = std::make_shared<pending_wait>(Shared->Executor);
+  Found->PrimaryWaits.push_back(Waiting);
   const auto Outcome = co_await waitFor(Waiting, Deadline);
   if (watched_group *Still = findGroup(*Shared, Group))
-    std::erase(Still->ForPrimary, Waiting);
+    std::erase(Still->PrimaryWaits, Waiting);
   if (!Outcome)
     co_return failure(errc::NoPrimary, "group " + Group);
   co_return *Outcome;
@@ -149,9 +149,9 @@
 }
 
 void group_service::noteState(std::string_view Group,
-                              const endpoint_state &Told,
+                              const endpoint_state &Reported,
                               base::instant AskedAt) {
-  takeState(State, base::group_name(Group), Told, {}, AskedAt);
+  applyState(State, base::group_name(Group), Reported, {}, AskedAt);
 }
 
 void group_service::onChange(
--- a/packages/data/src/group_state.hpp
+++ b/packages/data/src/group_state.hpp
@@ -16,8 +16,8 @@
 namespace redwinggw::data {
 
 /// Wakes one waiting coroutine.
-struct waiting {
-  explicit waiting(const boost::asio::any_io_executor &Executor)
+struct pending_wait {
+  explicit pending_wait(const boost::asio::any_io_executor &Executor)
       : Timer(Executor) {}
   boost::asio::steady_timer Timer;
   std::optional<base::result<void>> Outcome;
@@ -35,11 +35,12 @@
   /// Last line about a store that is down.
   base::instant StoreLineAt;
   /// Requests that wait for a confirmation, by the id of their waiter.
-  std::map<std::uint64_t, std::shared_ptr<waiting>> Confirming;
+  std::map<std::uint64_t, std::shared_ptr<pending_wait>> ConfirmationWaits;
   /// Requests that wait for a primary.
-  std::vector<std::shared_ptr<waiting>> ForPrimary;
+  std::vector<std::shared_ptr<pending_wait>> PrimaryWaits;
   /// Connections for questions of the coalescer, while they are idle.
-  std::map<std::pair<base::endpoint_name, confirm_lane>, http::client> Lanes;
+  std::map<std::pair<base::endpoint_name, confirm_query_kind>, http::client>
+      QueryClients;
   /// Members that a coroutine polls.
   std::set<std::pair<base::endpoint_name, http::address>> Polled;
 };
@@ -68,18 +69,19 @@
 bool hasPrimary(const group_service_state &State, const watched_group &Group);
 
 /// Takes in a state that a member told, and acts on what changed.
-void takeState(const state_pointer &State, const base::group_name &Group,
-               const endpoint_state &Told, std::optional<confirm_lane> Lane,
-               base::instant AskedAt);
+void applyState(const state_pointer &State, const base::group_name &Group,
+                const endpoint_state &Reported,
+                std::optional<confirm_query_kind> QueryKind,
+                base::instant AskedAt);
 
 /// Ends the waits and sends the questions that \p Actions name.
-void carryOut(const state_pointer &State, const base::group_name &Group,
-              confirm_actions Actions);
+void perform(const state_pointer &State, const base::group_name &Group,
+             confirm_actions Actions);
 
 /// Sends \p Request on \p Client, over a new connection when it has none.
 base::task<base::result<endpoint_state>>
-askStatus(state_pointer State, http::client &Client, http::address Address,
-          status_request Request, base::instant Deadline);
+queryStatus(state_pointer State, http::client &Client, http::address Address,
+            status_request Request, base::instant Deadline);
 
 /// Polls one member until it leaves the configuration.
 base::task<void> pollMember(state_pointer State, base::group_name Group,
@@ -93,10 +95,10 @@
                           base::microseconds Duration);
 
 /// Wakes \p Waiting with \p Outcome.
-void wake(waiting &Waiting, base::result<void> Outcome);
+void wake(pending_wait &Waiting, base::result<void> Outcome);
 
 /// Waits for wake; empty when \p Deadline passed first.
 base::task<std::optional<base::result<void>>>
-waitFor(std::shared_ptr<waiting> Waiting, base::instant Deadline);
+waitFor(std::shared_ptr<pending_wait> Waiting, base::instant Deadline);
 
 } // namespace redwinggw::data
--- a/packages/data/src/read_path.cpp
+++ b/packages/data/src/read_path.cpp
@@ -126,14 +126,14 @@
   auto [Ran, Current] =
       co_await (runAt(Core, Target, Call, std::move(Request)) &&
                 Core.Ports.Confirm(Call.Group, Term, 0, Call.Deadline,
-                                   confirm_kind::HeldAndCurrent));
+                                   confirm_kind::ReplicatedAndCurrent));
   if (!Ran.Answer)
     co_return Ran.Failed.Failure;
   if (!Current)
     co_return Current.error();
   const base::log_position Position = Ran.Answer->Position;
   const auto Confirmed = co_await Core.Ports.Confirm(
-      Call.Group, Term, Position, Call.Deadline, confirm_kind::Held);
+      Call.Group, Term, Position, Call.Deadline, confirm_kind::Replicated);
   if (!Confirmed)
     co_return Confirmed.error();
   std::string Session = tokenAfter(Core, Call, Term, Position);
--- a/packages/data/src/transaction_table.cpp
+++ b/packages/data/src/transaction_table.cpp
@@ -163,7 +163,7 @@
     co_return Ran.Failed.Failure;
   const base::log_position Position = Ran.Answer->Position;
   const auto Confirmed = co_await Core.Ports.Confirm(
-      Call.Group, Term, Position, Call.Deadline, confirm_kind::Held);
+      Call.Group, Term, Position, Call.Deadline, confirm_kind::Replicated);
   if (!Confirmed)
     co_return failure(errc::OutcomeUnknown, Confirmed.error().Detail);
   caller_answer Answer;
--- a/packages/data/src/write_path.cpp
+++ b/packages/data/src/write_path.cpp
@@ -85,7 +85,7 @@
                                  json::value Result, base::term_number Term,
                                  base::log_position Position) {
   const auto Confirmed = co_await Core.Ports.Confirm(
-      Call.Group, Term, Position, Call.Deadline, confirm_kind::Held);
+      Call.Group, Term, Position, Call.Deadline, confirm_kind::Replicated);
   if (!Confirmed)
     co_return stopped(Confirmed.error());
   caller_answer Answer;
@@ -186,7 +186,7 @@
   if (Ran.Answer) {
     const auto Confirmed =
         co_await Core.Ports.Confirm(Call.Group, Term, Ran.Answer->Position,
-                                    Call.Deadline, confirm_kind::Held);
+                                    Call.Deadline, confirm_kind::Replicated);
     co_return stopped(Confirmed ? failure(errc::RequestCancelled)
                                 : Confirmed.error());
   }
@@ -262,9 +262,9 @@
   run_result Ran = co_await runAt(Core, Target, Call, std::move(Request));
   if (!Ran.Answer)
     co_return Ran.Failed.Failure;
-  const auto Confirmed =
-      co_await Core.Ports.Confirm(Call.Group, Term, Ran.Answer->Position,
-                                  Call.Deadline, confirm_kind::HeldAndCurrent);
+  const auto Confirmed = co_await Core.Ports.Confirm(
+      Call.Group, Term, Ran.Answer->Position, Call.Deadline,
+      confirm_kind::ReplicatedAndCurrent);
   if (!Confirmed)
     co_return Confirmed.error();
   co_return found_record{recordOf(Ran.Answer->Results.at(0)), Term,
--- a/tests/bench/failover_load.cpp
+++ b/tests/bench/failover_load.cpp
@@ -89,9 +89,9 @@
     Instance.LastFailure = describe(Ran.Failed.Failure);
     co_return;
   }
-  const auto Confirmed =
-      co_await Instance.Groups->confirm(Load.Group, Term, Ran.Answer->Position,
-                                        Deadline, data::confirm_kind::Held);
+  const auto Confirmed = co_await Instance.Groups->confirm(
+      Load.Group, Term, Ran.Answer->Position, Deadline,
+      data::confirm_kind::Replicated);
   if (Confirmed)
     Load.Writes.push_back({Id, Term, base::now()});
   else
--- a/tests/data/confirm_test.cpp
+++ b/tests/data/confirm_test.cpp
@@ -51,12 +51,12 @@
 
 Test(confirm, requests_of_one_moment_share_one_question_to_each_replica) {
   confirm_state State = group();
-  confirm_waiter First = waiter(5, confirm_kind::Held);
-  confirm_waiter Second = waiter(6, confirm_kind::Held);
-  cr_assert(addWaiter(State, First).Questions.size() == 2);
-  cr_assert(addWaiter(State, Second).Questions.empty());
-  const auto Actions =
-      onConfirmAnswer(State, replica("a", 1, 6), confirm_lane::Wait, Later);
+  confirm_waiter First = waiter(5, confirm_kind::Replicated);
+  confirm_waiter Second = waiter(6, confirm_kind::Replicated);
+  cr_assert(addWaiter(State, First).Queries.size() == 2);
+  cr_assert(addWaiter(State, Second).Queries.empty());
+  const auto Actions = onConfirmAnswer(State, replica("a", 1, 6),
+                                       confirm_query_kind::Wait, Later);
   cr_assert(isDone(Actions, First.Id) && isDone(Actions, Second.Id));
 }
 
@@ -66,7 +66,7 @@
 Test(confirm, a_position_of_another_term_confirms_nothing) {
   confirm_state State = group();
   onConfirmAnswer(State, replica("a", 0, 8), {}, Later);
-  confirm_waiter Write = waiter(5, confirm_kind::Held);
+  confirm_waiter Write = waiter(5, confirm_kind::Replicated);
   cr_assert(!isDoneAtOnce(State, Write));
   confirm_state Broken = group({.CheckTerm = false});
   onConfirmAnswer(Broken, replica("a", 0, 8), {}, Later);
@@ -79,10 +79,11 @@
   confirm_state State = group();
   endpoint_state JustTold = replica("a", 1, 8);
   JustTold.History = {{0, 0}};
-  confirm_waiter Write = waiter(5, confirm_kind::Held);
+  confirm_waiter Write = waiter(5, confirm_kind::Replicated);
   addWaiter(State, Write);
-  cr_assert(!isDone(onConfirmAnswer(State, JustTold, confirm_lane::Wait, Later),
-                    Write.Id));
+  cr_assert(
+      !isDone(onConfirmAnswer(State, JustTold, confirm_query_kind::Wait, Later),
+              Write.Id));
 }
 
 // A caller reads an old value after another caller's write was acknowledged.
@@ -92,22 +93,22 @@
   confirm_state State = group();
   const base::instant Before = Start - base::milliseconds(1);
   onConfirmAnswer(State, replica("a", 1, 9), {}, Before);
-  confirm_waiter Write = waiter(5, confirm_kind::Held);
+  confirm_waiter Write = waiter(5, confirm_kind::Replicated);
   cr_assert(isDoneAtOnce(State, Write));
-  confirm_waiter Read = waiter(5, confirm_kind::HeldAndCurrent);
+  confirm_waiter Read = waiter(5, confirm_kind::ReplicatedAndCurrent);
   const auto Asked = addWaiter(State, Read);
-  cr_assert(!isDone(Asked, Read.Id) && Asked.Questions.size() == 3);
-  const auto Answer =
-      onConfirmAnswer(State, replica("b", 1, 9), confirm_lane::Current, Start);
+  cr_assert(!isDone(Asked, Read.Id) && Asked.Queries.size() == 3);
+  const auto Answer = onConfirmAnswer(State, replica("b", 1, 9),
+                                      confirm_query_kind::Current, Start);
   cr_assert(isDone(Answer, Read.Id));
 }
 
 Test(confirm, a_higher_term_ends_the_wait_at_once) {
   confirm_state State = group();
-  confirm_waiter Write = waiter(5, confirm_kind::Held);
+  confirm_waiter Write = waiter(5, confirm_kind::Replicated);
   addWaiter(State, Write);
-  const auto Actions =
-      onConfirmAnswer(State, replica("a", 2, 9), confirm_lane::Wait, Later);
+  const auto Actions = onConfirmAnswer(State, replica("a", 2, 9),
+                                       confirm_query_kind::Wait, Later);
   cr_assert(Actions.Finished.size() == 1);
   cr_assert(kindOf(Actions.Finished[0].Outcome.error()) ==
             base::errc::TermReplaced);
@@ -115,9 +116,9 @@
 
 Test(confirm, a_failed_question_is_asked_again_after_a_pause) {
   confirm_state State = group();
-  confirm_waiter Write = waiter(5, confirm_kind::Held);
+  confirm_waiter Write = waiter(5, confirm_kind::Replicated);
   addWaiter(State, Write);
-  const auto Actions = onConfirmFailure(State, "b", confirm_lane::Wait);
-  cr_assert(Actions.Questions.size() == 1);
-  cr_assert(Actions.Questions[0].Member == "b" && Actions.Questions[0].Paced);
+  const auto Actions = onConfirmFailure(State, "b", confirm_query_kind::Wait);
+  cr_assert(Actions.Queries.size() == 1);
+  cr_assert(Actions.Queries[0].Member == "b" && Actions.Queries[0].Delayed);
 }
--- a/tests/matrix/caller_model.cpp
+++ b/tests/matrix/caller_model.cpp
@@ -16,7 +16,8 @@
 void confirm(world &World, instance_model &Instance,
              data::confirm_waiter Waiter, std::function<void(bool)> Done) {
   data::confirm_actions Actions = addWaiter(Instance.Confirm, Waiter);
-  Instance.Confirming[Waiter.Id] = [&World, &Instance, Done](bool Confirmed) {
+  Instance.ConfirmationWaits[Waiter.Id] = [&World, &Instance,
+                                           Done](bool Confirmed) {
     if (Confirmed && World.OnStep)
       World.OnStep(step::BeforeAnswer, Instance.Name);
     World.Net.after(milliseconds(1), Instance.Name,
@@ -24,10 +25,10 @@
   };
   World.Net.after(ConfirmTimeout, Instance.Name, [&Instance, Waiter] {
     dropWaiter(Instance.Confirm, Waiter.Id);
-    if (auto Found = Instance.Confirming.extract(Waiter.Id))
+    if (auto Found = Instance.ConfirmationWaits.extract(Waiter.Id))
       Found.mapped()(false);
   });
-  carryOut(World, Instance, std::move(Actions));
+  perform(World, Instance, std::move(Actions));
 }
 
 void write(world &World, instance_model &Instance, write_id Write) {
@@ -44,20 +45,21 @@
   const auto Done = [&World, &Instance, Term, Write,
                      AskedAt](std::optional<run_reply> Reply) {
     if (Reply)
-      takeState(World, Instance, Reply->State, {}, AskedAt);
+      applyState(World, Instance, Reply->State, {}, AskedAt);
     if (!Reply || !Reply->Ran) {
       Instance.Unknown.push_back(Write);
       return;
     }
     const base::log_position Position = Reply->Position;
-    confirm(
-        World, Instance, {0, Term, Position, data::confirm_kind::Held, AskedAt},
-        [&World, &Instance, Write, Position](bool Confirmed) {
-          if (Confirmed)
-            World.History.Writes.push_back({Position, Write, World.Net.Now});
-          else
-            Instance.Unknown.push_back(Write);
-        });
+    confirm(World, Instance,
+            {0, Term, Position, data::confirm_kind::Replicated, AskedAt},
+            [&World, &Instance, Write, Position](bool Confirmed) {
+              if (Confirmed)
+                World.History.Writes.push_back(
+                    {Position, Write, World.Net.Now});
+              else
+                Instance.Unknown.push_back(Write);
+            });
   };
   World.Net.call<run_reply>(Instance.Name, Primary, Serve, Done, RunTimeout);
 }
@@ -86,13 +88,13 @@
                      Begun](std::optional<run_reply> Reply) {
     if (!Reply || !Reply->Ran)
       return;
-    confirm(
-        World, Instance,
-        {0, Term, Reply->Position, data::confirm_kind::HeldAndCurrent, Begun},
-        [&World, Reply, Begun](bool Confirmed) {
-          if (Confirmed)
-            checkRead(World, *Reply, Begun);
-        });
+    confirm(World, Instance,
+            {0, Term, Reply->Position, data::confirm_kind::ReplicatedAndCurrent,
+             Begun},
+            [&World, Reply, Begun](bool Confirmed) {
+              if (Confirmed)
+                checkRead(World, *Reply, Begun);
+            });
   };
   World.Net.call<run_reply>(Instance.Name, Primary, Serve, Done, RunTimeout);
 }
--- a/tests/matrix/failover_scenario.cpp
+++ b/tests/matrix/failover_scenario.cpp
@@ -258,7 +258,7 @@
       {"term check in confirm", "no write lost",
        [](failover_run &Run) { Run.Confirm.CheckTerm = false; }},
       {"fresh confirmation for reads", "no stale read",
-       [](failover_run &Run) { Run.Confirm.CheckFresh = false; }},
+       [](failover_run &Run) { Run.Confirm.CheckCurrent = false; }},
       {"seal majority", "no write lost",
        [](failover_run &Run) { Run.Failover.SealMajority = false; }},
       {"choose most advanced", "no write lost",
--- a/tests/matrix/instance_model.cpp
+++ b/tests/matrix/instance_model.cpp
@@ -13,7 +13,7 @@
 constexpr milliseconds PollDeadline{250};
 constexpr milliseconds StoreTimeout{1000};
 constexpr milliseconds SuperviseEvery{25};
-constexpr milliseconds Pace{10};
+constexpr milliseconds QueryDelay{10};
 
 const data::detector_parameters DetectorParameters;
 
@@ -131,7 +131,7 @@
     Event.Member = Member;
     Event.Request = Request;
     if (Event.State)
-      takeState(World, Instance, *Event.State, {}, AskedAt);
+      applyState(World, Instance, *Event.State, {}, AskedAt);
     process(World, Instance, Event);
   };
   World.Net.call<data::member_answered>(Instance.Name, Member, Answer, Done,
@@ -247,7 +247,7 @@
   };
   const auto Done = [&World, &Instance, Member, AskedAt](auto Answer) {
     if (Answer)
-      takeState(World, Instance, *Answer, {}, AskedAt);
+      applyState(World, Instance, *Answer, {}, AskedAt);
     else
       observeFailure(Instance.View, Member, AskedAt);
     World.Net.after(PollEvery, Instance.Name, [&World, &Instance, Member] {
@@ -258,20 +258,20 @@
                                        PollDeadline);
 }
 
-void askReplica(world &World, instance_model &Instance,
-                const data::confirm_question &Question) {
+void queryReplica(world &World, instance_model &Instance,
+                  const data::confirm_query &Query) {
   const base::instant AskedAt = World.Net.Now;
-  const node Member = Question.Member;
+  const node Member = Query.Member;
   const auto Serve = [&World, Member] {
     return std::optional(World.Endpoints.at(Member).State);
   };
-  const auto Done = [&World, &Instance, Question, AskedAt](auto Answer) {
+  const auto Done = [&World, &Instance, Query, AskedAt](auto Answer) {
     if (Answer)
-      takeState(World, Instance, *Answer, Question.Lane, AskedAt);
+      applyState(World, Instance, *Answer, Query.QueryKind, AskedAt);
     else
-      carryOut(
+      perform(
           World, Instance,
-          onConfirmFailure(Instance.Confirm, Question.Member, Question.Lane));
+          onConfirmFailure(Instance.Confirm, Query.Member, Query.QueryKind));
   };
   World.Net.call<data::endpoint_state>(Instance.Name, Member, Serve, Done,
                                        PollDeadline);
@@ -279,27 +279,27 @@
 
 } // namespace
 
-void carryOut(world &World, instance_model &Instance,
-              data::confirm_actions Actions) {
+void perform(world &World, instance_model &Instance,
+             data::confirm_actions Actions) {
   for (const data::confirm_finished &Finished : Actions.Finished) {
-    auto Found = Instance.Confirming.extract(Finished.Id);
+    auto Found = Instance.ConfirmationWaits.extract(Finished.Id);
     if (Found)
       Found.mapped()(Finished.Outcome.has_value());
   }
-  for (const data::confirm_question &Question : Actions.Questions)
-    World.Net.after(Question.Paced ? Pace : milliseconds(1), Instance.Name,
-                    [&World, &Instance, Question] {
-                      askReplica(World, Instance, Question);
-                    });
+  for (const data::confirm_query &Query : Actions.Queries)
+    World.Net.after(
+        Query.Delayed ? QueryDelay : milliseconds(1), Instance.Name,
+        [&World, &Instance, Query] { queryReplica(World, Instance, Query); });
 }
 
-void takeState(world &World, instance_model &Instance,
-               const data::endpoint_state &Told,
-               std::optional<data::confirm_lane> Lane, base::instant AskedAt) {
-  observe(Instance.View, Told, AskedAt);
+void applyState(world &World, instance_model &Instance,
+                const data::endpoint_state &Reported,
+                std::optional<data::confirm_query_kind> QueryKind,
+                base::instant AskedAt) {
+  observe(Instance.View, Reported, AskedAt);
   observeGroup(Instance.Detector, Instance.View, World.Net.Now);
-  carryOut(World, Instance,
-           onConfirmAnswer(Instance.Confirm, Told, Lane, AskedAt));
+  perform(World, Instance,
+          onConfirmAnswer(Instance.Confirm, Reported, QueryKind, AskedAt));
 }
 
 void startInstance(world &World, instance_model &Instance) {
--- a/tests/matrix/models.hpp
+++ b/tests/matrix/models.hpp
@@ -93,7 +93,7 @@
   std::optional<data::failover> Order;
   data::failover_step LastStep = data::failover_step::Idle;
   bool Preparing = false;
-  std::map<std::uint64_t, std::function<void(bool)>> Confirming;
+  std::map<std::uint64_t, std::function<void(bool)>> ConfirmationWaits;
   std::map<node, std::pair<base::instant, std::vector<data::suspicion>>>
       Reports;
   /// Writes whose outcome is unknown; they are repeated.
@@ -154,11 +154,12 @@
 /// Starts its callers, who write and read all the time.
 void startCallers(world &World, instance_model &Instance);
 /// Hands \p Actions of the coalescer out.
-void carryOut(world &World, instance_model &Instance,
-              data::confirm_actions Actions);
-void takeState(world &World, instance_model &Instance,
-               const data::endpoint_state &Told,
-               std::optional<data::confirm_lane> Lane, base::instant AskedAt);
+void perform(world &World, instance_model &Instance,
+             data::confirm_actions Actions);
+void applyState(world &World, instance_model &Instance,
+                const data::endpoint_state &Reported,
+                std::optional<data::confirm_query_kind> QueryKind,
+                base::instant AskedAt);
 
 /// Judges the final state and what callers saw.
 void judge(world &World);
