--- a/packages/data/include/redwinggw/data/detector.hpp
+++ b/packages/data/include/redwinggw/data/detector.hpp
@@ -14,29 +14,29 @@
 
 struct detector_parameters {
   /// The primary is suspected after failures for so long without a success.
-  base::milliseconds SilentFor{500};
+  base::milliseconds UnresponsiveTimeout{500};
   /// Failed questions that this takes at least; the second one goes over a
   /// fresh connection, so one silent connection moves nothing.
-  unsigned FailuresNeeded = 2;
+  unsigned MinFailures = 2;
   /// No primary in the highest term for so long: whoever made that term is
   /// taken to have died midway.
-  base::milliseconds UnfinishedFor{1000};
+  base::milliseconds NoPrimaryTimeout{1000};
   /// The primary is ahead of its replicas and none of them advanced for so
   /// long: it is cut off from them.
-  base::milliseconds StalledFor{800};
+  base::milliseconds StallTimeout{800};
   /// A report of another instance counts for so long.
-  base::milliseconds ReportAge{1000};
+  base::milliseconds MaxReportAge{1000};
 };
 
 /// Why this instance suspects a primary.
 enum class suspicion_cause {
   None,
   /// Probes and traffic fail.
-  Silent,
+  Unresponsive,
   /// The group is in a term without a primary.
-  Unfinished,
+  NoPrimary,
   /// Its replicas receive nothing from it.
-  Stalled,
+  ReplicationStalled,
 };
 
 /// What one instance tells the others about a group that it suspects. Groups
@@ -86,7 +86,8 @@
 /// Whether enough instances share the suspicion of \p Own: a majority of this
 /// one and those that reported lately, and at least two of more than two. So
 /// one instance's broken link moves nothing.
-bool isAgreed(const suspicion &Own, const std::vector<peer_report> &Reports,
-              const detector_parameters &Parameters);
+bool isSuspectedByQuorum(const suspicion &Own,
+                         const std::vector<peer_report> &Reports,
+                         const detector_parameters &Parameters);
 
 } // namespace redwinggw::data
--- a/packages/data/include/redwinggw/data/failover.hpp
+++ b/packages/data/include/redwinggw/data/failover.hpp
@@ -24,12 +24,12 @@
 struct failover_parameters {
   /// An order that did not get on in one step for so long is given up; the
   /// next order takes a higher term.
-  base::milliseconds StepFor{3000};
+  base::milliseconds StepTimeout{3000};
   /// How long the unsealed members are waited for when the majority is only
   /// reached with the suspected primary.
-  base::milliseconds GraceForOthers{150};
+  base::milliseconds SealGrace{150};
   /// Time for which an order of another instance is left alone.
-  base::milliseconds UnfinishedFor{1000};
+  base::milliseconds OtherOrderTimeout{1000};
   bool ConditionalClaim = true;
   bool ReadBackOwnOrder = true;
   bool SealMajority = true;
--- a/packages/data/include/redwinggw/data/group_service.hpp
+++ b/packages/data/include/redwinggw/data/group_service.hpp
@@ -24,11 +24,11 @@
 
 /// Times of the watcher. Defaults suit zones a millisecond apart.
 struct group_options {
-  base::milliseconds PollEvery{100};
+  base::milliseconds PollInterval{100};
   /// A status question without an answer for so long has failed.
-  base::milliseconds PollDeadline{250};
+  base::milliseconds PollTimeout{250};
   /// Longest wait at a replica for a position.
-  base::milliseconds WaitAtReplica{250};
+  base::milliseconds ReplicaWaitTimeout{250};
   /// Pause before a question that the last answer makes look hopeless.
   base::milliseconds QueryDelay{10};
   /// Orders start after a random part of this, so that instances do not race.
--- a/packages/data/src/detector.cpp
+++ b/packages/data/src/detector.cpp
@@ -34,9 +34,9 @@
   if (Member == nullptr || !Member->State)
     return nullptr;
   const endpoint_state &State = *Member->State;
-  const bool Stands =
+  const bool IsCurrentPrimary =
       State.Role == endpoint_role::Primary && State.Term == View.Term;
-  return Stands ? &State : nullptr;
+  return IsCurrentPrimary ? &State : nullptr;
 }
 
 /// Whether a majority of the members, the primary left out, answers: without
@@ -51,27 +51,29 @@
          static_cast<std::ptrdiff_t>(majorityOf(View.Members.size()));
 }
 
-bool isSilent(const detector_state &State, const group_view &View,
-              const detector_parameters &Parameters, base::instant Now) {
+bool isUnresponsive(const detector_state &State, const group_view &View,
+                    const detector_parameters &Parameters, base::instant Now) {
   const member_view *Primary = primaryOf(View);
-  if (Primary == nullptr || Primary->Failures < Parameters.FailuresNeeded)
+  if (Primary == nullptr || Primary->Failures < Parameters.MinFailures)
     return false;
   const base::instant Since =
       std::max(Primary->FailingSince, State.LastSuccess);
-  return Now - Since >= Parameters.SilentFor;
+  return Now - Since >= Parameters.UnresponsiveTimeout;
 }
 
-bool isUnfinished(const detector_state &State,
-                  const detector_parameters &Parameters, base::instant Now) {
+bool hasNoPrimaryTooLong(const detector_state &State,
+                         const detector_parameters &Parameters,
+                         base::instant Now) {
   return State.NoPrimarySince &&
-         Now - *State.NoPrimarySince >= Parameters.UnfinishedFor;
+         Now - *State.NoPrimarySince >= Parameters.NoPrimaryTimeout;
 }
 
-bool isStalled(const detector_state &State, const group_view &View,
-               const detector_parameters &Parameters, base::instant Now) {
+bool isReplicationStalled(const detector_state &State, const group_view &View,
+                          const detector_parameters &Parameters,
+                          base::instant Now) {
   const endpoint_state *Primary = primaryState(View);
   return Primary != nullptr && Primary->Received > State.Received &&
-         Now - State.ProgressAt >= Parameters.StalledFor &&
+         Now - State.ProgressAt >= Parameters.StallTimeout &&
          majorityWithoutPrimaryAnswers(View);
 }
 
@@ -100,19 +102,20 @@
 suspicion_cause suspicionOf(const detector_state &State, const group_view &View,
                             const detector_parameters &Parameters,
                             base::instant Now) {
-  if (isSilent(State, View, Parameters, Now))
-    return suspicion_cause::Silent;
-  if (isUnfinished(State, Parameters, Now))
-    return suspicion_cause::Unfinished;
-  if (isStalled(State, View, Parameters, Now))
-    return suspicion_cause::Stalled;
+  if (isUnresponsive(State, View, Parameters, Now))
+    return suspicion_cause::Unresponsive;
+  if (hasNoPrimaryTooLong(State, Parameters, Now))
+    return suspicion_cause::NoPrimary;
+  if (isReplicationStalled(State, View, Parameters, Now))
+    return suspicion_cause::ReplicationStalled;
   return suspicion_cause::None;
 }
 
-bool isAgreed(const suspicion &Own, const std::vector<peer_report> &Reports,
-              const detector_parameters &Parameters) {
+bool isSuspectedByQuorum(const suspicion &Own,
+                         const std::vector<peer_report> &Reports,
+                         const detector_parameters &Parameters) {
   const auto IsLive = [&](const peer_report &Report) {
-    return Report.Age <= Parameters.ReportAge;
+    return Report.Age <= Parameters.MaxReportAge;
   };
   const auto Agrees = [&](const peer_report &Report) {
     return IsLive(Report) &&
--- a/packages/data/src/failover.cpp
+++ b/packages/data/src/failover.cpp
@@ -76,7 +76,7 @@
   return Addresses;
 }
 
-bool isOutOfStep(const endpoint_state &State, base::term_number Term) {
+bool mustFollow(const endpoint_state &State, base::term_number Term) {
   const bool Behind = State.Term < Term;
   const bool LeftSealed =
       State.Term == Term && State.Role == endpoint_role::Sealed;
@@ -168,7 +168,7 @@
   const base::instant Since = SameTerm && NoPrimarySince
                                   ? std::min(Watch.FirstSeen, *NoPrimarySince)
                                   : Watch.FirstSeen;
-  return Now - Since >= Parameters.UnfinishedFor;
+  return Now - Since >= Parameters.OtherOrderTimeout;
 }
 
 std::vector<follow_member> membersToReconcile(const group_view &View) {
@@ -176,10 +176,10 @@
   if (!View.Primary)
     return Orders;
   const member_view *Primary = findMember(View, *View.Primary);
-  const bool Stands = Primary != nullptr && Primary->State &&
-                      Primary->State->Term == View.Term &&
-                      Primary->State->Role == endpoint_role::Primary;
-  if (!Stands)
+  const bool IsCurrentPrimary = Primary != nullptr && Primary->State &&
+                                Primary->State->Term == View.Term &&
+                                Primary->State->Role == endpoint_role::Primary;
+  if (!IsCurrentPrimary)
     return Orders;
   const auto Addresses = addressesOf(View);
   const endpoint_address *Target = addressOf(Addresses, *View.Primary);
@@ -187,7 +187,7 @@
     const bool Answers = Member.State && Member.Failures == 0;
     if (!Answers || Member.Endpoint.Name == *View.Primary)
       continue;
-    if (isOutOfStep(*Member.State, View.Term))
+    if (mustFollow(*Member.State, View.Term))
       Orders.push_back({{Member.Endpoint.Name, Member.Endpoint.Address},
                         View.Term,
                         Primary->State->Order,
--- a/packages/data/src/failover_machine.cpp
+++ b/packages/data/src/failover_machine.cpp
@@ -24,20 +24,20 @@
 
 /// \name Taking events in, before the machine looks at them
 /// @{
-void absorb(failover_order &Order, const order_started &Event) {
+void applyEvent(failover_order &Order, const order_started &Event) {
   Order.Now = Event.Now;
 }
 
-void absorb(failover_order &, const order_abandoned &) {}
+void applyEvent(failover_order &, const order_abandoned &) {}
 
-void absorb(failover_order &Order, const row_committed &Event) {
+void applyEvent(failover_order &Order, const row_committed &Event) {
   Order.CommitOpen = false;
   Order.Commit = Event.Outcome;
   if (Event.Outcome == commit_outcome::Taken)
     Order.OwnVersion = Event.Version;
 }
 
-void absorb(failover_order &Order, const row_read &Event) {
+void applyEvent(failover_order &Order, const row_read &Event) {
   Order.ReadOpen = false;
   Order.RowRead = Event.Row;
   const bool Ours = Event.Row && Event.Row->Record &&
@@ -46,11 +46,11 @@
     Order.OwnVersion = Event.Row->Version;
 }
 
-void absorb(failover_order &Order, const time_passed &Event) {
+void applyEvent(failover_order &Order, const time_passed &Event) {
   Order.Now = std::max(Order.Now, Event.Now);
 }
 
-void absorb(failover_order &Order, const member_answered &Event) {
+void applyEvent(failover_order &Order, const member_answered &Event) {
   Order.Asked.erase(Event.Member);
   Order.Refused |= Event.Refused;
   if (!Event.State)
@@ -84,7 +84,7 @@
 }
 
 /// A majority without the suspected primary, or all members.
-bool hasClearMajority(const failover_order &Order) {
+bool hasMajorityWithoutSuspect(const failover_order &Order) {
   const auto Others =
       std::ranges::count_if(Order.Sealed, [&](const endpoint_state &State) {
         return State.Name != Order.Plan.Suspected;
@@ -94,11 +94,11 @@
 }
 
 bool isExpired(const failover_order &Order) {
-  return Order.Now - Order.StepSince >= Order.Parameters.StepFor;
+  return Order.Now - Order.StepSince >= Order.Parameters.StepTimeout;
 }
 
 bool isGraceOver(const failover_order &Order) {
-  return Order.Now - Order.StepSince >= Order.Parameters.GraceForOthers;
+  return Order.Now - Order.StepSince >= Order.Parameters.SealGrace;
 }
 
 bool isOwnOrder(const failover_order &Order) {
@@ -240,8 +240,8 @@
   return !isOwnOrder(Order) && isRowUnchanged(Order);
 }
 
-bool isSealedClearly(const failover_order &Order) {
-  return !Order.Refused && hasClearMajority(Order);
+bool isSealedBeforeGrace(const failover_order &Order) {
+  return !Order.Refused && hasMajorityWithoutSuspect(Order);
 }
 
 bool isSealedAfterGrace(const failover_order &Order) {
@@ -252,7 +252,7 @@
   return !isSealedAfterGrace(Order) && !isExpired(Order);
 }
 
-bool isSealingHopeless(const failover_order &Order) {
+bool isSealingExpired(const failover_order &Order) {
   return !isSealedAfterGrace(Order) && isExpired(Order);
 }
 
@@ -299,11 +299,11 @@
     Row<resolving, time_passed, given_up, none, when<isExpired>>,
     Row<resolving, order_abandoned, given_up, none, none>,
 
-    Row<sealing, member_answered, promoting, then<choose>, when<isSealedClearly>>,
+    Row<sealing, member_answered, promoting, then<choose>, when<isSealedBeforeGrace>>,
     Row<sealing, member_answered, superseded, none, when<isRefused>>,
     Row<sealing, time_passed, promoting, then<choose>, when<isSealedAfterGrace>>,
     Row<sealing, time_passed, none, then<sealMissing>, when<maySealMore>>,
-    Row<sealing, time_passed, given_up, none, when<isSealingHopeless>>,
+    Row<sealing, time_passed, given_up, none, when<isSealingExpired>>,
 
     Row<promoting, member_answered, recording, then<followAndRecord>, when<isPromoted>>,
     Row<promoting, member_answered, superseded, none, when<isRefused>>,
@@ -344,7 +344,7 @@
   machine_back &Back = Machine->Back;
   std::visit(
       [&](const auto &Each) {
-        absorb(Back.Order, Each);
+        applyEvent(Back.Order, Each);
         Back.process_event(Each);
       },
       Event);
--- a/packages/data/src/group_failover.cpp
+++ b/packages/data/src/group_failover.cpp
@@ -14,12 +14,12 @@
 using base::errc;
 using base::log_level;
 
-constexpr base::milliseconds SuperviseEvery{25};
-constexpr base::milliseconds ReconcileEvery{100};
+constexpr base::milliseconds SuperviseInterval{25};
+constexpr base::milliseconds ReconcileInterval{100};
 /// Between two looks at the row, so that waiting instances spare the store.
 constexpr base::milliseconds RetryPause{100};
 /// Lines about a store that is down come at most so often for each group.
-constexpr base::milliseconds StoreLineEvery{5000};
+constexpr base::milliseconds StoreLogInterval{5000};
 
 /// One order while it runs; shared by the coroutines of its commands.
 struct running_order {
@@ -29,10 +29,9 @@
 };
 using order_pointer = std::shared_ptr<running_order>;
 
-void say(log_level Level, const base::group_name &Group,
-         const std::string &Sentence) {
-  base::log(Level, base::log_part::Failover,
-            "Group " + Group + ": " + Sentence);
+void logForGroup(log_level Level, const base::group_name &Group,
+                 const std::string &Message) {
+  base::log(Level, base::log_part::Failover, "Group " + Group + ": " + Message);
 }
 
 void execute(const order_pointer &Order,
@@ -42,7 +41,8 @@
   execute(Order, Order->Machine.process(Event));
 }
 
-row_committed committed(const base::result<std::vector<std::uint64_t>> &Done) {
+row_committed
+toCommitEvent(const base::result<std::vector<std::uint64_t>> &Done) {
   if (Done && !Done->empty())
     return {commit_outcome::Taken, Done->front()};
   const bool Lost = Done.has_error() && kindOf(Done.error()) == errc::Conflict;
@@ -57,7 +57,7 @@
   Request.Puts.push_back({Key, toText(Command.Record)});
   const auto Done =
       co_await storage::commit(*Order->State->Store, std::move(Request));
-  process(Order, committed(Done));
+  process(Order, toCommitEvent(Done));
 }
 
 base::task<std::optional<versioned_record>> readRecord(state_pointer State,
@@ -72,9 +72,9 @@
     co_return Row;
   const auto Record = parseRecord(Rows->front().Value);
   if (!Record) {
-    say(log_level::Error, Group,
-        "the failover record cannot be read; delete the row " +
-            recordKey(Group) + " of the table service");
+    logForGroup(log_level::Error, Group,
+                "the failover record cannot be read; delete the row " +
+                    recordKey(Group) + " of the table service");
     co_return std::nullopt;
   }
   Row.Record = *Record;
@@ -88,10 +88,10 @@
 }
 
 /// Takes in a member's answer to an order, for the view and the machine.
-void answered(const order_pointer &Order, const base::endpoint_name &Member,
-              member_request Request,
-              const base::result<endpoint_state> &Answer,
-              base::instant AskedAt) {
+void handleAnswer(const order_pointer &Order, const base::endpoint_name &Member,
+                  member_request Request,
+                  const base::result<endpoint_state> &Answer,
+                  base::instant AskedAt) {
   member_answered Event;
   Event.Member = Member;
   Event.Request = Request;
@@ -107,7 +107,7 @@
 base::task<void> perform(order_pointer Order, seal_member Command) {
   const state_pointer State = Order->State;
   const base::instant AskedAt = base::now();
-  const base::instant Deadline = AskedAt + State->Options.PollDeadline;
+  const base::instant Deadline = AskedAt + State->Options.PollTimeout;
   // A fresh connection: an old one can be silent for good.
   http::client Client(State->Executor);
   base::result<endpoint_state> Answer = base::failure(errc::Internal);
@@ -116,13 +116,14 @@
   if (Connected)
     Answer = co_await seal(Client, Command.Term, Command.Order, State->Instance,
                            Deadline);
-  answered(Order, Command.Member.Name, member_request::Seal, Answer, AskedAt);
+  handleAnswer(Order, Command.Member.Name, member_request::Seal, Answer,
+               AskedAt);
 }
 
 base::task<void> perform(order_pointer Order, promote_member Command) {
   const state_pointer State = Order->State;
   const base::instant AskedAt = base::now();
-  const base::instant Deadline = AskedAt + State->Options.PollDeadline;
+  const base::instant Deadline = AskedAt + State->Options.PollTimeout;
   http::client Client(State->Executor);
   base::result<endpoint_state> Answer = base::failure(errc::Internal);
   const auto Connected =
@@ -130,14 +131,14 @@
   if (Connected)
     Answer = co_await promote(Client, Command.Term, Command.Order,
                               Command.Others, State->Instance, Deadline);
-  answered(Order, Command.Member.Name, member_request::Promote, Answer,
-           AskedAt);
+  handleAnswer(Order, Command.Member.Name, member_request::Promote, Answer,
+               AskedAt);
 }
 
-base::task<void> tellToFollow(state_pointer State, base::group_name Group,
-                              follow_member Command) {
+base::task<void> sendFollow(state_pointer State, base::group_name Group,
+                            follow_member Command) {
   const base::instant AskedAt = base::now();
-  const base::instant Deadline = AskedAt + State->Options.PollDeadline;
+  const base::instant Deadline = AskedAt + State->Options.PollTimeout;
   http::client Client(State->Executor);
   const auto Connected =
       co_await Client.connect(Command.Member.Address, Deadline);
@@ -151,7 +152,7 @@
 }
 
 base::task<void> perform(order_pointer Order, follow_member Command) {
-  return tellToFollow(Order->State, Order->Group, std::move(Command));
+  return sendFollow(Order->State, Order->Group, std::move(Command));
 }
 
 void execute(const order_pointer &Order,
@@ -169,11 +170,11 @@
                      base::now()) != suspicion_cause::None;
 }
 
-bool isAgreedByPeers(const group_service_state &State,
+bool isQuorumReached(const group_service_state &State,
                      const watched_group &Group) {
   const suspicion Own{Group.View.Group, Group.View.Term};
   const auto Reports = State.Peers ? State.Peers() : std::vector<peer_report>();
-  return isAgreed(Own, Reports, State.Options.Detector);
+  return isSuspectedByQuorum(Own, Reports, State.Options.Detector);
 }
 
 failover_plan planFor(const group_service_state &State,
@@ -202,23 +203,25 @@
 base::task<void> runOrder(order_pointer Order) {
   process(Order, order_started{base::now()});
   while (!isOver(Order->Machine.step())) {
-    co_await pauseFor(Order->State->Executor, SuperviseEvery);
+    co_await pauseFor(Order->State->Executor, SuperviseInterval);
     if (isObsolete(Order))
       process(Order, order_abandoned{});
     process(Order, time_passed{base::now()});
   }
   const failover_order &Result = Order->Machine.order();
-  say(log_level::Warning, Order->Group,
-      "order of term " + std::to_string(Result.Term) + " ended as " +
-          std::string(stepName(Order->Machine.step())) +
-          (Result.Promoted ? ", primary is " + Result.Chosen : "") + ".");
+  logForGroup(log_level::Warning, Order->Group,
+              "order of term " + std::to_string(Result.Term) + " ended as " +
+                  std::string(stepName(Order->Machine.step())) +
+                  (Result.Promoted ? ", primary is " + Result.Chosen : "") +
+                  ".");
 }
 
-void sayStoreDown(watched_group &Group) {
-  if (base::now() - Group.StoreLineAt < StoreLineEvery)
+void logStoreDown(watched_group &Group) {
+  if (base::now() - Group.StoreLoggedAt < StoreLogInterval)
     return;
-  Group.StoreLineAt = base::now();
-  say(log_level::Error, Group.View.Group,
+  Group.StoreLoggedAt = base::now();
+  logForGroup(
+      log_level::Error, Group.View.Group,
       "the primary has failed and the platform's store does not answer; no "
       "promotion until it does. Check the platform's table service.");
 }
@@ -234,7 +237,7 @@
   if (Group == nullptr || !isSuspected(*State, *Group))
     co_return;
   if (!Row) {
-    sayStoreDown(*Group);
+    logStoreDown(*Group);
     co_await pauseFor(State->Executor, RetryPause);
     co_return;
   }
@@ -245,7 +248,8 @@
     co_await pauseFor(State->Executor, RetryPause);
     co_return;
   }
-  say(log_level::Warning, Name, "the primary has failed; ordering a failover.");
+  logForGroup(log_level::Warning, Name,
+              "the primary has failed; ordering a failover.");
   const auto Order = std::make_shared<running_order>(running_order{
       State, Name,
       failover(planFor(*State, *Group, *Row), State->Options.Failover)});
@@ -255,25 +259,24 @@
 base::task<void> orderFailover(state_pointer State, base::group_name Name) {
   co_await tryOrder(State, Name);
   if (watched_group *Group = findGroup(*State, Name))
-    Group->Ordering = false;
+    Group->OrderActive = false;
 }
 
 void superviseGroup(const state_pointer &State, const base::group_name &Name,
                     watched_group &Group) {
   const base::instant Now = base::now();
   observeGroup(Group.Detector, Group.View, Now);
-  const bool Orders = !Group.Ordering && isSuspected(*State, Group) &&
-                      isAgreedByPeers(*State, Group);
+  const bool Orders = !Group.OrderActive && isSuspected(*State, Group) &&
+                      isQuorumReached(*State, Group);
   if (Orders) {
-    Group.Ordering = true;
+    Group.OrderActive = true;
     asio::co_spawn(State->Executor, orderFailover(State, Name), asio::detached);
   }
-  if (Now - Group.ReconciledAt < ReconcileEvery)
+  if (Now - Group.ReconciledAt < ReconcileInterval)
     return;
   Group.ReconciledAt = Now;
   for (follow_member &Command : membersToReconcile(Group.View))
-    asio::co_spawn(State->Executor,
-                   tellToFollow(State, Name, std::move(Command)),
+    asio::co_spawn(State->Executor, sendFollow(State, Name, std::move(Command)),
                    asio::detached);
 }
 
@@ -283,7 +286,7 @@
   while (!State->Draining) {
     for (auto &[Name, Group] : State->Groups)
       superviseGroup(State, Name, Group);
-    co_await pauseFor(State->Executor, SuperviseEvery);
+    co_await pauseFor(State->Executor, SuperviseInterval);
   }
 }
 
--- a/packages/data/src/group_poll.cpp
+++ b/packages/data/src/group_poll.cpp
@@ -59,10 +59,10 @@
   Request.WaitReceived = Query.WaitReceived;
   Request.Term = Query.Term;
   if (Query.QueryKind == confirm_query_kind::Wait)
-    Request.Timeout = State->Options.WaitAtReplica;
+    Request.Timeout = State->Options.ReplicaWaitTimeout;
   const base::instant AskedAt = base::now();
   const base::instant Deadline =
-      AskedAt + Request.Timeout + State->Options.PollDeadline;
+      AskedAt + Request.Timeout + State->Options.PollTimeout;
   const auto Answer =
       co_await queryStatus(State, Client, Address, Request, Deadline);
   Group = findGroup(*State, Name);
@@ -158,7 +158,7 @@
   http::client Client(State->Executor);
   while (isWatched(*State, Group, Endpoint)) {
     const base::instant AskedAt = base::now();
-    const base::instant Deadline = AskedAt + State->Options.PollDeadline;
+    const base::instant Deadline = AskedAt + State->Options.PollTimeout;
     const status_request Request;
     const auto Answer = co_await queryStatus(State, Client, Endpoint.Address,
                                              Request, Deadline);
@@ -166,7 +166,7 @@
       applyState(State, Group, *Answer, {}, AskedAt);
     else
       applyFailure(*State, Group, Endpoint.Name, AskedAt);
-    const auto Rest = AskedAt + State->Options.PollEvery - base::now();
+    const auto Rest = AskedAt + State->Options.PollInterval - base::now();
     if (Rest > base::microseconds(0))
       co_await pauseFor(State->Executor, Rest);
   }
--- a/packages/data/src/group_state.hpp
+++ b/packages/data/src/group_state.hpp
@@ -30,10 +30,10 @@
   detector_state Detector;
   row_watch Watch;
   /// An order of this instance runs or is being prepared.
-  bool Ordering = false;
+  bool OrderActive = false;
   base::instant ReconciledAt;
   /// Last line about a store that is down.
-  base::instant StoreLineAt;
+  base::instant StoreLoggedAt;
   /// Requests that wait for a confirmation, by the id of their waiter.
   std::map<std::uint64_t, std::shared_ptr<pending_wait>> ConfirmationWaits;
   /// Requests that wait for a primary.
--- a/tests/data/detector_test.cpp
+++ b/tests/data/detector_test.cpp
@@ -59,7 +59,8 @@
   cr_assert(causeAt(State, View, milliseconds(650)) == suspicion_cause::None);
   observeFailure(View, "p", Start + milliseconds(350));
   cr_assert(causeAt(State, View, milliseconds(599)) == suspicion_cause::None);
-  cr_assert(causeAt(State, View, milliseconds(600)) == suspicion_cause::Silent);
+  cr_assert(causeAt(State, View, milliseconds(600)) ==
+            suspicion_cause::Unresponsive);
   noteSuccess(State, Start + milliseconds(400));
   cr_assert(causeAt(State, View, milliseconds(600)) == suspicion_cause::None);
 }
@@ -74,7 +75,7 @@
   observeGroup(State, View, Start + milliseconds(100));
   cr_assert(causeAt(State, View, milliseconds(700)) == suspicion_cause::None);
   cr_assert(causeAt(State, View, milliseconds(900)) ==
-            suspicion_cause::Stalled);
+            suspicion_cause::ReplicationStalled);
   tell(View, "b", endpoint_role::Replica, 1, 6, milliseconds(700));
   observeGroup(State, View, Start + milliseconds(700));
   cr_assert(causeAt(State, View, milliseconds(900)) == suspicion_cause::None);
@@ -90,7 +91,7 @@
   observeGroup(State, View, Start + milliseconds(100));
   cr_assert(causeAt(State, View, milliseconds(1099)) == suspicion_cause::None);
   cr_assert(causeAt(State, View, milliseconds(1100)) ==
-            suspicion_cause::Unfinished);
+            suspicion_cause::NoPrimary);
 }
 
 Test(detector, one_instances_broken_link_moves_nothing) {
@@ -113,10 +114,11 @@
        false},
   };
   for (const row &Row : Rows)
-    cr_assert(isAgreed({"g", 1}, Row.Reports, Parameters) == Row.Agreed);
+    cr_assert(isSuspectedByQuorum({"g", 1}, Row.Reports, Parameters) ==
+              Row.Agreed);
 }
 
 Test(detector, a_suspicion_of_an_earlier_term_does_not_count) {
   peer_report Report{"b", milliseconds(100), {{"g", 1}}};
-  cr_assert(!isAgreed({"g", 2}, {Report}, Parameters));
+  cr_assert(!isSuspectedByQuorum({"g", 2}, {Report}, Parameters));
 }
--- a/tests/matrix/instance_model.cpp
+++ b/tests/matrix/instance_model.cpp
@@ -9,10 +9,10 @@
 using base::milliseconds;
 using data::failover_step;
 
-constexpr milliseconds PollEvery{100};
-constexpr milliseconds PollDeadline{250};
+constexpr milliseconds PollInterval{100};
+constexpr milliseconds PollTimeout{250};
 constexpr milliseconds StoreTimeout{1000};
-constexpr milliseconds SuperviseEvery{25};
+constexpr milliseconds SuperviseInterval{25};
 constexpr milliseconds QueryDelay{10};
 
 const data::detector_parameters DetectorParameters;
@@ -135,7 +135,7 @@
     process(World, Instance, Event);
   };
   World.Net.call<data::member_answered>(Instance.Name, Member, Answer, Done,
-                                        PollDeadline);
+                                        PollTimeout);
 }
 
 void noteStep(world &World, instance_model &Instance, failover_step Now) {
@@ -169,7 +169,7 @@
                      World.Net.Now) != data::suspicion_cause::None;
 }
 
-bool isAgreedHere(const world &World, const instance_model &Instance) {
+bool isQuorumReached(const world &World, const instance_model &Instance) {
   std::vector<data::peer_report> Reports;
   std::ranges::transform(
       Instance.Reports, std::back_inserter(Reports), [&](const auto &Entry) {
@@ -178,7 +178,8 @@
         return data::peer_report{
             Name, std::chrono::duration_cast<milliseconds>(Age), Report.second};
       });
-  return isAgreed({"g", Instance.View.Term}, Reports, DetectorParameters);
+  return isSuspectedByQuorum({"g", Instance.View.Term}, Reports,
+                             DetectorParameters);
 }
 
 void startOrder(world &World, instance_model &Instance,
@@ -214,19 +215,21 @@
 }
 
 void supervise(world &World, instance_model &Instance) {
-  World.Net.after(SuperviseEvery, Instance.Name,
+  World.Net.after(SuperviseInterval, Instance.Name,
                   [&] { supervise(World, Instance); });
   observeGroup(Instance.Detector, Instance.View, World.Net.Now);
   process(World, Instance, data::time_passed{World.Net.Now});
   if (!isSuspected(World, Instance))
     return;
   reach(World, Instance, step::Suspected);
-  if (!Instance.Order && !Instance.Preparing && isAgreedHere(World, Instance))
+  if (!Instance.Order && !Instance.Preparing &&
+      isQuorumReached(World, Instance))
     prepareOrder(World, Instance);
 }
 
 void report(world &World, instance_model &Instance) {
-  World.Net.after(PollEvery, Instance.Name, [&] { report(World, Instance); });
+  World.Net.after(PollInterval, Instance.Name,
+                  [&] { report(World, Instance); });
   std::vector<data::suspicion> Suspicions;
   if (isSuspected(World, Instance))
     Suspicions.push_back({"g", Instance.View.Term});
@@ -250,12 +253,12 @@
       applyState(World, Instance, *Answer, {}, AskedAt);
     else
       observeFailure(Instance.View, Member, AskedAt);
-    World.Net.after(PollEvery, Instance.Name, [&World, &Instance, Member] {
+    World.Net.after(PollInterval, Instance.Name, [&World, &Instance, Member] {
       poll(World, Instance, Member);
     });
   };
   World.Net.call<data::endpoint_state>(Instance.Name, Member, Serve, Done,
-                                       PollDeadline);
+                                       PollTimeout);
 }
 
 void queryReplica(world &World, instance_model &Instance,
@@ -274,7 +277,7 @@
           onConfirmFailure(Instance.Confirm, Query.Member, Query.QueryKind));
   };
   World.Net.call<data::endpoint_state>(Instance.Name, Member, Serve, Done,
-                                       PollDeadline);
+                                       PollTimeout);
 }
 
 } // namespace
--- a/tests/matrix/world.cpp
+++ b/tests/matrix/world.cpp
@@ -34,9 +34,11 @@
 const endpoint_model *survivor(const world &World) {
   const endpoint_model *Best = nullptr;
   for (const auto &[Name, Endpoint] : World.Endpoints) {
-    const bool Stands = Endpoint.State.Role == data::endpoint_role::Primary &&
-                        !World.Net.Killed.contains(Name);
-    if (Stands && (Best == nullptr || Endpoint.State.Term > Best->State.Term))
+    const bool IsCurrentPrimary =
+        Endpoint.State.Role == data::endpoint_role::Primary &&
+        !World.Net.Killed.contains(Name);
+    if (IsCurrentPrimary &&
+        (Best == nullptr || Endpoint.State.Term > Best->State.Term))
       Best = &Endpoint;
   }
   return Best;
