--- a/packages/data/include/redwinggw/data/connection_pool.hpp
+++ b/packages/data/include/redwinggw/data/connection_pool.hpp
@@ -22,7 +22,7 @@
 
   http::client Client;
   base::instant OpenedAt;
-  base::instant AnsweredAt;
+  base::instant LastAnswerAt;
 };
 
 using connection_handle = std::unique_ptr<database_connection>;
@@ -41,11 +41,11 @@
   /// An idle connection, or a new one while the limit allows; waits for one
   /// otherwise. Fails with errc::ConnectionLimit or errc::EndpointUnreachable;
   /// nothing has run.
-  base::task<base::result<connection_handle>> take(base::instant Deadline);
+  base::task<base::result<connection_handle>> acquire(base::instant Deadline);
 
   /// Takes a connection back. Precondition: the endpoint confirmed that no
   /// transaction is open on it. Otherwise destroy the handle through discard.
-  void giveBack(connection_handle Connection);
+  void release(connection_handle Connection);
 
   /// Closes a connection whose state is not known.
   void discard(connection_handle Connection);
@@ -54,7 +54,7 @@
   /// request timed out, something between the two ends may have lost track of
   /// all older connections, while new ones work; each would cost one more
   /// request its deadline.
-  void closeSilentSince(base::instant Since);
+  void closeUnansweredSince(base::instant Since);
 
   void closeIdle();
   void setLimit(std::size_t Limit);
--- a/packages/data/include/redwinggw/data/dispatcher.hpp
+++ b/packages/data/include/redwinggw/data/dispatcher.hpp
@@ -35,22 +35,22 @@
   /// Counts a request as running at once, without a turn. For statements of a
   /// transaction that is open already: it may hold locks for which the running
   /// requests wait, so behind them it would never get its turn.
-  void acquireAhead(base::customer_name Customer);
+  void acquireImmediately(base::customer_name Customer);
 
   /// A transaction began (+1) or ceased (-1) to keep a connection. The window
   /// counts only on the others.
-  void notePinned(int Change);
+  void adjustPinned(int Change);
 
   /// Whether one more transaction may keep a connection.
   bool mayPin() const;
 
-  /// Ends what acquire or acquireAhead began. \p Busy is the measured slot
-  /// time; without one (the request failed) the account is left as it is.
+  /// Ends what acquire or acquireImmediately began. \p Busy is the measured
+  /// slot time; without one (the request failed) the account is left as it is.
   void release(std::string_view Customer, base::microseconds RoundTrip,
                std::optional<base::microseconds> Busy);
 
   connection_pool &pool() { return Pool; }
-  circuit &circuitState() { return Circuit; }
+  circuit_breaker &breaker() { return Circuit; }
   std::size_t waiting() const { return Queue.Size; }
   std::size_t running() const { return Window.Running; }
   double windowSize() const { return Window.Size; }
@@ -65,15 +65,15 @@
     bool Granted = false;
   };
 
-  void pump();
-  void limitWindow();
+  void startWaiting();
+  void updateWindowLimit();
 
   boost::asio::any_io_executor Executor;
   control::endpoint Endpoint;
   connection_pool Pool;
   slot_window Window;
   fair_queue Queue;
-  circuit Circuit;
+  circuit_breaker Circuit;
   std::unordered_map<std::uint64_t, waiter> Waiters;
   std::uint64_t LastTicket = 0;
   std::size_t Limit = 1;
--- a/packages/data/include/redwinggw/data/fair_queue.hpp
+++ b/packages/data/include/redwinggw/data/fair_queue.hpp
@@ -21,8 +21,8 @@
   queue_policy Policy = queue_policy::Fair;
   /// Slot time that a turn is worth.
   base::microseconds Quantum{2000};
-  std::size_t PerCustomer = 2000;
-  std::size_t Total = 10000;
+  std::size_t MaxPerCustomer = 2000;
+  std::size_t MaxTotal = 10000;
 };
 
 /// A request that waits.
@@ -45,7 +45,7 @@
   queue_settings Settings;
   std::map<base::customer_name, customer_queue, std::less<>> Customers;
   /// Customers with waiting requests, next one first.
-  std::deque<base::customer_name> Rotation;
+  std::deque<base::customer_name> ActiveCustomers;
   /// Under Fifo: all waiting requests in order of arrival.
   std::deque<queue_ticket> Arrivals;
   std::size_t Size = 0;
@@ -55,9 +55,10 @@
 base::microseconds queuedWork(const fair_queue &Queue);
 
 /// Time after which a new request of \p Customer is expected to start, with
-/// \p Width requests running at once.
+/// \p Concurrency requests running at once.
 base::microseconds expectedWait(const fair_queue &Queue,
-                                std::string_view Customer, std::size_t Width);
+                                std::string_view Customer,
+                                std::size_t Concurrency);
 
 /// Result of enqueue.
 struct enqueue_answer {
@@ -69,7 +70,7 @@
 /// Adds \p Ticket, or refuses it at once when the queue is full or when its
 /// turn would come after its deadline: holding it would help nobody.
 enqueue_answer enqueue(fair_queue &Queue, queue_ticket Ticket,
-                       std::size_t Width, base::instant Now);
+                       std::size_t Concurrency, base::instant Now);
 
 /// Takes out the request whose turn it is.
 std::optional<queue_ticket> dequeue(fair_queue &Queue);
--- a/packages/data/include/redwinggw/data/retry_policy.hpp
+++ b/packages/data/include/redwinggw/data/retry_policy.hpp
@@ -28,20 +28,20 @@
 base::microseconds backoff(unsigned Try, double Random);
 
 /// State of the way to one endpoint.
-struct circuit {
+struct circuit_breaker {
   unsigned Failures = 0;
   /// No request goes there before this time.
   base::instant OpenUntil;
 };
 
 /// Whether requests may go there.
-bool isClosed(const circuit &Circuit, base::instant Now);
+bool isClosed(const circuit_breaker &Circuit, base::instant Now);
 
-void noteSuccess(circuit &Circuit);
+void noteSuccess(circuit_breaker &Circuit);
 
 /// Opens the circuit after several failures in a row, for a time that grows
 /// and is spread by \p Random, uniform in [0, 1).
-void noteFailure(circuit &Circuit, base::instant Now, double Random);
+void noteFailure(circuit_breaker &Circuit, base::instant Now, double Random);
 
 /// What a failed try allows.
 enum class retry_kind {
--- a/packages/data/include/redwinggw/data/slot_window.hpp
+++ b/packages/data/include/redwinggw/data/slot_window.hpp
@@ -26,14 +26,14 @@
 bool hasRoom(const slot_window &Window);
 
 /// Counts a request as running. Precondition: hasRoom.
-void enter(slot_window &Window);
+void startRequest(slot_window &Window);
 
 /// Counts a request as over. \p RoundTrip is the time from sending to the
 /// answer, \p Busy the part in which it held a slot.
-void leave(slot_window &Window, base::microseconds RoundTrip,
-           base::microseconds Busy, base::instant Now);
+void finishRequest(slot_window &Window, base::microseconds RoundTrip,
+                   base::microseconds Busy, base::instant Now);
 
 /// Counts a request as over that brought no measure (failed, rolled back).
-void leaveUnmeasured(slot_window &Window);
+void finishUnmeasured(slot_window &Window);
 
 } // namespace redwinggw::data
--- a/packages/data/src/connection_pool.cpp
+++ b/packages/data/src/connection_pool.cpp
@@ -43,7 +43,7 @@
                         Endpoint.Name + ": " + Connected.error().Detail);
     }
     Connection->OpenedAt = base::now();
-    Connection->AnsweredAt = Connection->OpenedAt;
+    Connection->LastAnswerAt = Connection->OpenedAt;
     co_return std::move(Connection);
   }
 
@@ -65,7 +65,7 @@
 
   /// Opens one connection ahead of need: a new one costs many times a request.
   /// The last connection is left to those who need one now.
-  void keepSpare() {
+  void openSpare() {
     if (Idle.empty() && Opening == 0 && Open + 1 < Limit && !Closed)
       startOpening();
   }
@@ -127,7 +127,7 @@
 }
 
 base::task<result<connection_handle>>
-connection_pool::take(base::instant Deadline) {
+connection_pool::acquire(base::instant Deadline) {
   const auto Pool = State;
   // A connection that comes back before the new one is open is taken instead.
   while (Pool->Idle.empty()) {
@@ -140,17 +140,17 @@
   }
   connection_handle Connection = std::move(Pool->Idle.back());
   Pool->Idle.pop_back();
-  Pool->keepSpare();
+  Pool->openSpare();
   co_return std::move(Connection);
 }
 
-void connection_pool::giveBack(connection_handle Connection) {
+void connection_pool::release(connection_handle Connection) {
   if (!Connection->Client.isOpen() || State->Closed ||
       State->Open > State->Limit) {
     discard(std::move(Connection));
     return;
   }
-  Connection->AnsweredAt = base::now();
+  Connection->LastAnswerAt = base::now();
   State->Idle.push_back(std::move(Connection));
   State->wakeOne();
 }
@@ -161,10 +161,10 @@
   State->wakeOne();
 }
 
-void connection_pool::closeSilentSince(base::instant Since) {
+void connection_pool::closeUnansweredSince(base::instant Since) {
   const std::size_t Closed =
       std::erase_if(State->Idle, [&](const connection_handle &Connection) {
-        return Connection->AnsweredAt < Since;
+        return Connection->LastAnswerAt < Since;
       });
   State->Open -= Closed;
   State->wakeOne();
--- a/packages/data/src/dispatcher.cpp
+++ b/packages/data/src/dispatcher.cpp
@@ -24,14 +24,15 @@
 base::task<base::result<void>> dispatcher::acquire(base::customer_name Customer,
                                                    base::instant Deadline) {
   if (Queue.Size == 0 && hasRoom(Window)) {
-    enter(Window);
+    startRequest(Window);
     // An account exists from the first request on, so that charge finds it.
     Queue.Customers.try_emplace(std::move(Customer));
     co_return base::result<void>();
   }
   const queue_ticket Ticket{++LastTicket, std::move(Customer), Deadline};
-  const auto Width = static_cast<std::size_t>(Window.Size);
-  const enqueue_answer Answer = enqueue(Queue, Ticket, Width, base::now());
+  const auto Concurrency = static_cast<std::size_t>(Window.Size);
+  const enqueue_answer Answer =
+      enqueue(Queue, Ticket, Concurrency, base::now());
   if (!Answer.Queued)
     co_return base::failure(base::errc::Overloaded, Endpoint.Name,
                             Answer.RetryAfter);
@@ -52,22 +53,22 @@
                          base::microseconds RoundTrip,
                          std::optional<base::microseconds> Busy) {
   if (Busy) {
-    leave(Window, RoundTrip, *Busy, base::now());
+    finishRequest(Window, RoundTrip, *Busy, base::now());
     charge(Queue, Customer, *Busy);
   } else {
-    leaveUnmeasured(Window);
+    finishUnmeasured(Window);
   }
-  pump();
+  startWaiting();
 }
 
-void dispatcher::acquireAhead(base::customer_name Customer) {
-  enter(Window);
+void dispatcher::acquireImmediately(base::customer_name Customer) {
+  startRequest(Window);
   Queue.Customers.try_emplace(std::move(Customer));
 }
 
-void dispatcher::notePinned(int Change) {
+void dispatcher::adjustPinned(int Change) {
   Pinned += Change;
-  limitWindow();
+  updateWindowLimit();
 }
 
 bool dispatcher::mayPin() const {
@@ -77,16 +78,16 @@
 void dispatcher::setConnectionLimit(std::size_t Connections) {
   Limit = Connections;
   Pool.setLimit(Connections);
-  limitWindow();
+  updateWindowLimit();
 }
 
-void dispatcher::limitWindow() {
+void dispatcher::updateWindowLimit() {
   const std::size_t Free = Limit > Pinned ? Limit - Pinned : 1;
   Window.Limit = static_cast<double>(std::max<std::size_t>(1, Free));
   Window.Size = std::min(Window.Size, Window.Limit);
 }
 
-void dispatcher::pump() {
+void dispatcher::startWaiting() {
   while (hasRoom(Window)) {
     const std::optional<queue_ticket> Ticket = dequeue(Queue);
     if (!Ticket)
@@ -94,7 +95,7 @@
     const auto Waiter = Waiters.find(Ticket->Id);
     if (Waiter == Waiters.end())
       continue;
-    enter(Window);
+    startRequest(Window);
     Waiter->second.Granted = true;
     Waiter->second.Timer->cancel();
   }
--- a/packages/data/src/fair_queue.cpp
+++ b/packages/data/src/fair_queue.cpp
@@ -7,14 +7,14 @@
 
 /// A customer may be overdrawn by so many turns at most: one very slow
 /// statement must not shut it out for long.
-constexpr int MaxOverdraft = 20;
+constexpr int MaxDebtQuanta = 20;
 /// Weight of the last request in the smoothed cost is 1/CostWeight.
 constexpr int CostWeight = 8;
 constexpr base::milliseconds SmallestRetryAfter{10};
 
 bool isFull(const fair_queue &Queue, const customer_queue &Own) {
-  return Queue.Size >= Queue.Settings.Total ||
-         Own.Waiting.size() >= Queue.Settings.PerCustomer;
+  return Queue.Size >= Queue.Settings.MaxTotal ||
+         Own.Waiting.size() >= Queue.Settings.MaxPerCustomer;
 }
 
 base::milliseconds retryAfter(base::microseconds Wait) {
@@ -22,7 +22,7 @@
                   std::chrono::ceil<base::milliseconds>(Wait));
 }
 
-std::optional<queue_ticket> dequeueFirst(fair_queue &Queue) {
+std::optional<queue_ticket> dequeueFifo(fair_queue &Queue) {
   if (Queue.Arrivals.empty())
     return std::nullopt;
   queue_ticket Ticket = Queue.Arrivals.front();
@@ -30,8 +30,8 @@
   return Ticket;
 }
 
-void removeFromRotation(fair_queue &Queue, const base::customer_name &Name) {
-  std::erase(Queue.Rotation, Name);
+void deactivate(fair_queue &Queue, const base::customer_name &Name) {
+  std::erase(Queue.ActiveCustomers, Name);
   customer_queue &Own = Queue.Customers.at(Name);
   // Unused time does not add up while a customer has nothing to run; a debt
   // stays, or a customer could shed it by pausing for one request.
@@ -48,31 +48,34 @@
 }
 
 base::microseconds expectedWait(const fair_queue &Queue,
-                                std::string_view Customer, std::size_t Width) {
-  const auto Places =
-      static_cast<std::int64_t>(std::max<std::size_t>(1, Width));
-  const base::microseconds All = queuedWork(Queue) / Places;
+                                std::string_view Customer,
+                                std::size_t Concurrency) {
+  const auto Slots =
+      static_cast<std::int64_t>(std::max<std::size_t>(1, Concurrency));
+  const base::microseconds All = queuedWork(Queue) / Slots;
   if (Queue.Settings.Policy == queue_policy::Fifo)
     return All;
   const auto Own = Queue.Customers.find(Customer);
   if (Own == Queue.Customers.end() || Own->second.Waiting.empty())
-    return std::min(All, Queue.Settings.Quantum *
-                             static_cast<std::int64_t>(Queue.Rotation.size()) /
-                             Places);
-  const auto Active = static_cast<std::int64_t>(Queue.Rotation.size());
+    return std::min(
+        All, Queue.Settings.Quantum *
+                 static_cast<std::int64_t>(Queue.ActiveCustomers.size()) /
+                 Slots);
+  const auto Active = static_cast<std::int64_t>(Queue.ActiveCustomers.size());
   const base::microseconds Mine =
-      Own->second.Cost * Own->second.Waiting.size() * Active / Places;
+      Own->second.Cost * Own->second.Waiting.size() * Active / Slots;
   return std::min(All, Mine);
 }
 
 enqueue_answer enqueue(fair_queue &Queue, queue_ticket Ticket,
-                       std::size_t Width, base::instant Now) {
-  const base::microseconds Wait = expectedWait(Queue, Ticket.Customer, Width);
+                       std::size_t Concurrency, base::instant Now) {
+  const base::microseconds Wait =
+      expectedWait(Queue, Ticket.Customer, Concurrency);
   customer_queue &Own = Queue.Customers[Ticket.Customer];
   if (isFull(Queue, Own) || Now + Wait >= Ticket.Deadline)
     return {false, retryAfter(Wait)};
   if (Own.Waiting.empty())
-    Queue.Rotation.push_back(Ticket.Customer);
+    Queue.ActiveCustomers.push_back(Ticket.Customer);
   Own.Waiting.push_back(Ticket);
   if (Queue.Settings.Policy == queue_policy::Fifo)
     Queue.Arrivals.push_back(std::move(Ticket));
@@ -82,14 +85,14 @@
 
 std::optional<queue_ticket> dequeue(fair_queue &Queue) {
   if (Queue.Settings.Policy == queue_policy::Fifo)
-    return dequeueFirst(Queue);
-  while (!Queue.Rotation.empty()) {
-    const base::customer_name Name = Queue.Rotation.front();
+    return dequeueFifo(Queue);
+  while (!Queue.ActiveCustomers.empty()) {
+    const base::customer_name Name = Queue.ActiveCustomers.front();
     customer_queue &Own = Queue.Customers.at(Name);
     if (Own.Deficit <= base::microseconds(0)) {
       Own.Deficit += Queue.Settings.Quantum;
-      Queue.Rotation.pop_front();
-      Queue.Rotation.push_back(Name);
+      Queue.ActiveCustomers.pop_front();
+      Queue.ActiveCustomers.push_back(Name);
       continue;
     }
     Own.Deficit -= Own.Cost;
@@ -97,7 +100,7 @@
     Own.Waiting.pop_front();
     --Queue.Size;
     if (Own.Waiting.empty())
-      removeFromRotation(Queue, Name);
+      deactivate(Queue, Name);
     return Ticket;
   }
   return std::nullopt;
@@ -114,7 +117,7 @@
   Queue.Size -= Taken;
   std::erase_if(Queue.Arrivals, SameId);
   if (Taken != 0 && Own->second.Waiting.empty())
-    removeFromRotation(Queue, Own->first);
+    deactivate(Queue, Own->first);
 }
 
 void charge(fair_queue &Queue, std::string_view Customer,
@@ -123,7 +126,7 @@
   if (Found == Queue.Customers.end())
     return;
   customer_queue &Own = Found->second;
-  const base::microseconds Lowest = -Queue.Settings.Quantum * MaxOverdraft;
+  const base::microseconds Lowest = -Queue.Settings.Quantum * MaxDebtQuanta;
   Own.Deficit = std::max(Lowest, Own.Deficit - (Busy - Own.Cost));
   Own.Cost += (Busy - Own.Cost) / CostWeight;
 }
--- a/packages/data/src/pinned_connection.cpp
+++ b/packages/data/src/pinned_connection.cpp
@@ -19,21 +19,21 @@
                                                 base::instant Deadline) {
   if (Pinned.Connection)
     co_return base::result<void>();
-  auto Taken = co_await Pinned.Target->pool().take(Deadline);
+  auto Taken = co_await Pinned.Target->pool().acquire(Deadline);
   if (!Taken)
     co_return Taken.error();
   Pinned.Connection = std::move(*Taken);
-  Pinned.Target->notePinned(1);
+  Pinned.Target->adjustPinned(1);
   co_return base::result<void>();
 }
 
 /// The first run waits in the queue as any request does. Later ones go ahead:
 /// the requests that run may be waiting for this transaction's locks.
-base::task<base::result<void>> takeTurn(const pinned_connection &Pinned,
-                                        const call &Call) {
+base::task<base::result<void>> acquireSlot(const pinned_connection &Pinned,
+                                           const call &Call) {
   dispatcher &Target = *Pinned.Target;
   if (Pinned.Connection) {
-    Target.acquireAhead(Call.Customer);
+    Target.acquireImmediately(Call.Customer);
     co_return base::result<void>();
   }
   if (!Target.mayPin())
@@ -49,9 +49,9 @@
                                  pinned_connection &Pinned, call &Call,
                                  run_request Request) {
   const std::shared_ptr<dispatcher> Target = Pinned.Target;
-  const auto Turn = co_await takeTurn(Pinned, Call);
-  if (!Turn)
-    co_return failed(Turn.error());
+  const auto Acquired = co_await acquireSlot(Pinned, Call);
+  if (!Acquired)
+    co_return failed(Acquired.error());
   if (const auto May = mayStillRun(Core, Call); !May) {
     Target->release(Call.Customer, {}, std::nullopt);
     co_return failed(May.error());
@@ -78,7 +78,7 @@
   Target->release(Call.Customer, base::now() - SentAt, Busy);
   if (!Answered) {
     unpin(Core, Pinned, false);
-    Target->pool().closeSilentSince(SentAt);
+    Target->pool().closeUnansweredSince(SentAt);
   }
   co_return Ran;
 }
@@ -87,11 +87,11 @@
   if (!Pinned.Connection)
     return;
   if (Clean)
-    Pinned.Target->pool().giveBack(std::move(Pinned.Connection));
+    Pinned.Target->pool().release(std::move(Pinned.Connection));
   else
     Pinned.Target->pool().discard(std::move(Pinned.Connection));
   Pinned.Connection.reset();
-  Pinned.Target->notePinned(-1);
+  Pinned.Target->adjustPinned(-1);
 }
 
 } // namespace redwinggw::data
--- a/packages/data/src/read_path.cpp
+++ b/packages/data/src/read_path.cpp
@@ -44,7 +44,7 @@
       continue;
     dispatcher &Target = *Found->second;
     Loads.push_back({Member.Endpoint.Name, Target.waiting() + Target.running(),
-                     !isClosed(Target.circuitState(), base::now())});
+                     !isClosed(Target.breaker(), base::now())});
   }
   return Loads;
 }
--- a/packages/data/src/retry_policy.cpp
+++ b/packages/data/src/retry_policy.cpp
@@ -12,8 +12,9 @@
 constexpr base::microseconds LongestOpenTime{1'000'000};
 constexpr unsigned LargestShift = 10;
 
-base::microseconds grown(base::microseconds First, base::microseconds Longest,
-                         unsigned Times, double Random) {
+base::microseconds exponentialDelay(base::microseconds First,
+                                    base::microseconds Longest, unsigned Times,
+                                    double Random) {
   const unsigned Shift = std::min(Times, LargestShift);
   const base::microseconds Whole = std::min(Longest, First * (1U << Shift));
   return Whole / 2 + base::microseconds(static_cast<std::int64_t>(
@@ -34,21 +35,23 @@
 }
 
 base::microseconds backoff(unsigned Try, double Random) {
-  return grown(FirstBackoff, LongestBackoff, Try == 0 ? 0 : Try - 1, Random);
+  return exponentialDelay(FirstBackoff, LongestBackoff, Try == 0 ? 0 : Try - 1,
+                          Random);
 }
 
-bool isClosed(const circuit &Circuit, base::instant Now) {
+bool isClosed(const circuit_breaker &Circuit, base::instant Now) {
   return Now >= Circuit.OpenUntil;
 }
 
-void noteSuccess(circuit &Circuit) { Circuit = {}; }
+void noteSuccess(circuit_breaker &Circuit) { Circuit = {}; }
 
-void noteFailure(circuit &Circuit, base::instant Now, double Random) {
+void noteFailure(circuit_breaker &Circuit, base::instant Now, double Random) {
   ++Circuit.Failures;
   if (Circuit.Failures < FailuresToOpen)
     return;
-  Circuit.OpenUntil = Now + grown(FirstOpenTime, LongestOpenTime,
-                                  Circuit.Failures - FailuresToOpen, Random);
+  Circuit.OpenUntil =
+      Now + exponentialDelay(FirstOpenTime, LongestOpenTime,
+                             Circuit.Failures - FailuresToOpen, Random);
 }
 
 retry_kind retryKindOf(const base::failure &Failure) {
--- a/packages/data/src/slot_window.cpp
+++ b/packages/data/src/slot_window.cpp
@@ -8,16 +8,16 @@
 constexpr double ShrinkFactor = 0.85;
 constexpr double SmallestSize = 1;
 /// Queueing below this is noise of the scheduler.
-constexpr base::microseconds Tolerance{1000};
+constexpr base::microseconds QueueingTolerance{1000};
 /// The base delay rises slowly, so that a longer path is learned in time.
-constexpr int BaseDelayRise = 64;
+constexpr int BaseDelayWeight = 64;
 
-void learnBaseDelay(slot_window &Window, base::microseconds Delay) {
+void updateBaseDelay(slot_window &Window, base::microseconds Delay) {
   if (Window.BaseDelay == base::microseconds(0) || Delay < Window.BaseDelay) {
     Window.BaseDelay = Delay;
     return;
   }
-  Window.BaseDelay += (Delay - Window.BaseDelay) / BaseDelayRise;
+  Window.BaseDelay += (Delay - Window.BaseDelay) / BaseDelayWeight;
 }
 
 void shrink(slot_window &Window, base::microseconds RoundTrip,
@@ -34,24 +34,24 @@
   return Window.Running < static_cast<std::size_t>(Window.Size);
 }
 
-void enter(slot_window &Window) { ++Window.Running; }
+void startRequest(slot_window &Window) { ++Window.Running; }
 
-void leave(slot_window &Window, base::microseconds RoundTrip,
-           base::microseconds Busy, base::instant Now) {
+void finishRequest(slot_window &Window, base::microseconds RoundTrip,
+                   base::microseconds Busy, base::instant Now) {
   const bool WasFull = !hasRoom(Window);
-  leaveUnmeasured(Window);
+  finishUnmeasured(Window);
   const base::microseconds Delay =
       std::max(base::microseconds(0), RoundTrip - Busy);
   const base::microseconds Queued = Delay - Window.BaseDelay;
-  const bool Queueing = Queued > Tolerance + Busy;
-  learnBaseDelay(Window, Delay);
+  const bool Queueing = Queued > QueueingTolerance + Busy;
+  updateBaseDelay(Window, Delay);
   if (Queueing)
     shrink(Window, RoundTrip, Now);
   else if (WasFull)
     Window.Size = std::min(Window.Limit, Window.Size + 1 / Window.Size);
 }
 
-void leaveUnmeasured(slot_window &Window) {
+void finishUnmeasured(slot_window &Window) {
   if (Window.Running > 0)
     --Window.Running;
 }
--- a/packages/data/src/statement_core.cpp
+++ b/packages/data/src/statement_core.cpp
@@ -42,12 +42,12 @@
   Core.Ports.NoteTraffic(Target.endpoint().Group, Target.endpoint().Name,
                          Answered, SentAt);
   if (Answered) {
-    noteSuccess(Target.circuitState());
-    Target.pool().giveBack(std::move(Connection));
+    noteSuccess(Target.breaker());
+    Target.pool().release(std::move(Connection));
   } else {
-    noteFailure(Target.circuitState(), base::now(), randomUnit(Core));
+    noteFailure(Target.breaker(), base::now(), randomUnit(Core));
     Target.pool().discard(std::move(Connection));
-    Target.pool().closeSilentSince(SentAt);
+    Target.pool().closeUnansweredSince(SentAt);
   }
   std::optional<base::microseconds> Busy;
   if (Result.Answer)
@@ -75,7 +75,7 @@
 bool isPrimaryFailing(const statement_core &Core, std::string_view Group) {
   const group_view *View = Core.Ports.View(Group);
   const auto Primary = View == nullptr ? nullptr : primaryOf(Core, *View);
-  return Primary && !isClosed(Primary->circuitState(), base::now());
+  return Primary && !isClosed(Primary->breaker(), base::now());
 }
 
 std::size_t limitOf(const control::endpoint &Endpoint, std::size_t Instances) {
@@ -130,19 +130,19 @@
 base::task<run_result> runAt(statement_core &Core,
                              std::shared_ptr<dispatcher> Target, call &Call,
                              run_request Request) {
-  const auto Turn = co_await Target->acquire(Call.Customer, Call.Deadline);
-  if (!Turn)
-    co_return failed(Turn.error());
+  const auto Acquired = co_await Target->acquire(Call.Customer, Call.Deadline);
+  if (!Acquired)
+    co_return failed(Acquired.error());
   if (const auto May = mayStillRun(Core, Call); !May) {
     Target->release(Call.Customer, {}, std::nullopt);
     co_return failed(May.error());
   }
   const base::instant Deadline =
       std::min(Call.Deadline, base::now() + Core.Settings.TryTimeout);
-  auto Connection = co_await Target->pool().take(Deadline);
+  auto Connection = co_await Target->pool().acquire(Deadline);
   if (!Connection) {
     if (kindOf(Connection.error()) == errc::EndpointUnreachable) {
-      noteFailure(Target->circuitState(), base::now(), randomUnit(Core));
+      noteFailure(Target->breaker(), base::now(), randomUnit(Core));
       Core.Ports.NoteTraffic(Call.Group, Target->endpoint().Name, false,
                              base::now());
     }
--- a/packages/redwinggw/src/operator_pages.cpp
+++ b/packages/redwinggw/src/operator_pages.cpp
@@ -49,7 +49,7 @@
   Status["waiting"] = Dispatcher.waiting();
   Status["window"] = Dispatcher.windowSize();
   Status["circuit"] =
-      isClosed(Dispatcher.circuitState(), base::now()) ? "closed" : "open";
+      isClosed(Dispatcher.breaker(), base::now()) ? "closed" : "open";
   return Status;
 }
 
--- a/packages/session/src/endpoint_pool.cpp
+++ b/packages/session/src/endpoint_pool.cpp
@@ -47,7 +47,7 @@
                              endpoint_entry Entry)
     : Executor(std::move(Executor)), Watch(Watch), Factory(std::move(Factory)),
       Waiters(this->Executor, Watch) {
-  Queue.Settings.Total = LongestQueue;
+  Queue.Settings.MaxTotal = LongestQueue;
   setEntry(std::move(Entry));
 }
 
--- a/tests/data/connection_pool_test.cpp
+++ b/tests/data/connection_pool_test.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-constexpr std::chrono::seconds Patience{20};
+constexpr std::chrono::seconds Timeout{20};
 constexpr const char *State =
     R"({"state":{"name":"e1","role":"primary","term":1}})";
 
@@ -31,21 +31,21 @@
                        control::endpoint{"e1", "g", Address, "a", 5, 1}, 1};
 };
 
-base::task<void> takeAndKeep(endpoint_fixture &Fixture,
-                             std::vector<connection_handle> &Kept) {
-  auto Connection = co_await Fixture.Pool.take(base::now() + Patience);
+base::task<void> acquireAndKeep(endpoint_fixture &Fixture,
+                                std::vector<connection_handle> &Kept) {
+  auto Connection = co_await Fixture.Pool.acquire(base::now() + Timeout);
   if (Connection)
     Kept.push_back(std::move(*Connection));
   if (!Connection || Kept.size() == 2)
     Fixture.Context.stop();
 }
 
-base::task<void> giveBackLater(endpoint_fixture &Fixture,
-                               std::vector<connection_handle> &Kept) {
+base::task<void> releaseLater(endpoint_fixture &Fixture,
+                              std::vector<connection_handle> &Kept) {
   while (Kept.empty())
     co_await asio::post(asio::use_awaitable);
   // A place stays in the list, so that the second one ends the test.
-  Fixture.Pool.giveBack(std::move(Kept.front()));
+  Fixture.Pool.release(std::move(Kept.front()));
 }
 
 } // namespace
@@ -56,9 +56,11 @@
 Test(connection_pool, a_request_waits_for_the_last_connection) {
   endpoint_fixture Fixture;
   std::vector<connection_handle> Kept;
-  asio::co_spawn(Fixture.Context, takeAndKeep(Fixture, Kept), asio::detached);
-  asio::co_spawn(Fixture.Context, takeAndKeep(Fixture, Kept), asio::detached);
-  asio::co_spawn(Fixture.Context, giveBackLater(Fixture, Kept), asio::detached);
+  asio::co_spawn(Fixture.Context, acquireAndKeep(Fixture, Kept),
+                 asio::detached);
+  asio::co_spawn(Fixture.Context, acquireAndKeep(Fixture, Kept),
+                 asio::detached);
+  asio::co_spawn(Fixture.Context, releaseLater(Fixture, Kept), asio::detached);
   Fixture.Context.run();
   cr_assert(Kept.size() == 2);
   cr_assert(Fixture.Pool.open() == 1);
--- a/tests/data/dispatcher_test.cpp
+++ b/tests/data/dispatcher_test.cpp
@@ -13,12 +13,12 @@
 namespace {
 
 const control::endpoint Endpoint{"e1", "g", {"127.0.0.1", 1}, "a", 5, 4};
-constexpr std::chrono::minutes Patience{1};
+constexpr std::chrono::minutes Timeout{1};
 
-base::task<void> takeTurn(dispatcher &Dispatcher, int &Turns) {
-  const auto Turn =
-      co_await Dispatcher.acquire("dulce", base::now() + Patience);
-  Turns += Turn.has_value() ? 1 : 0;
+base::task<void> acquireSlot(dispatcher &Dispatcher, int &SlotsAcquired) {
+  const auto Acquired =
+      co_await Dispatcher.acquire("dulce", base::now() + Timeout);
+  SlotsAcquired += Acquired.has_value() ? 1 : 0;
 }
 
 /// Lets all that can run do so, without waiting for timers.
@@ -36,20 +36,21 @@
 Test(dispatcher, a_statement_of_an_open_transaction_does_not_queue) {
   asio::io_context Context;
   dispatcher Dispatcher(Context.get_executor(), "i1", Endpoint, 4, {});
-  int Turns = 0;
+  int SlotsAcquired = 0;
   for (int Write = 0; Write < 3; ++Write)
-    asio::co_spawn(Context, takeTurn(Dispatcher, Turns), asio::detached);
+    asio::co_spawn(Context, acquireSlot(Dispatcher, SlotsAcquired),
+                   asio::detached);
   settle(Context);
-  cr_assert(Turns == 1);
+  cr_assert(SlotsAcquired == 1);
   cr_assert(Dispatcher.waiting() == 2);
-  Dispatcher.acquireAhead("dulce");
+  Dispatcher.acquireImmediately("dulce");
   cr_assert(Dispatcher.running() == 2);
   Dispatcher.release("dulce", {}, std::nullopt);
   settle(Context);
-  cr_assert(Turns == 1);
+  cr_assert(SlotsAcquired == 1);
   Dispatcher.release("dulce", {}, std::nullopt);
   settle(Context);
-  cr_assert(Turns == 2);
+  cr_assert(SlotsAcquired == 2);
   Dispatcher.release("dulce", {}, std::nullopt);
   settle(Context);
 }
@@ -60,8 +61,8 @@
   asio::io_context Context;
   dispatcher Dispatcher(Context.get_executor(), "i1", Endpoint, 4, {});
   const double Free = Dispatcher.windowLimit();
-  Dispatcher.notePinned(1);
+  Dispatcher.adjustPinned(1);
   cr_assert(Dispatcher.windowLimit() == Free - 1);
-  Dispatcher.notePinned(-1);
+  Dispatcher.adjustPinned(-1);
   cr_assert(Dispatcher.windowLimit() == Free);
 }
--- a/tests/data/fair_queue_test.cpp
+++ b/tests/data/fair_queue_test.cpp
@@ -93,8 +93,8 @@
 
 Test(fair_queue, memory_is_bounded_for_each_customer_and_in_all) {
   fair_queue Queue;
-  Queue.Settings.PerCustomer = 3;
-  Queue.Settings.Total = 5;
+  Queue.Settings.MaxPerCustomer = 3;
+  Queue.Settings.MaxTotal = 5;
   for (std::uint64_t Id = 0; Id < 3; ++Id)
     cr_assert(add(Queue, Id, "a"));
   cr_assert(!add(Queue, 3, "a"));
--- a/tests/data/retry_policy_test.cpp
+++ b/tests/data/retry_policy_test.cpp
@@ -32,7 +32,7 @@
 }
 
 Test(retry_policy, a_circuit_opens_after_failures_in_a_row_only) {
-  circuit Circuit;
+  circuit_breaker Circuit;
   for (int Failure = 0; Failure < 2; ++Failure)
     noteFailure(Circuit, Start, 0.5);
   cr_assert(isClosed(Circuit, Start));
--- a/tests/data/slot_window_test.cpp
+++ b/tests/data/slot_window_test.cpp
@@ -17,10 +17,10 @@
   constexpr microseconds Network{200};
   for (int Round = 0; Round < Rounds; ++Round) {
     while (hasRoom(Window))
-      enter(Window);
+      startRequest(Window);
     const microseconds RoundTrip = Busy + Network + Queued;
     Now += RoundTrip;
-    leave(Window, RoundTrip, Busy, Now);
+    finishRequest(Window, RoundTrip, Busy, Now);
   }
 }
 
