--- a/packages/data/include/redwinggw/data/request_record.hpp
+++ b/packages/data/include/redwinggw/data/request_record.hpp
@@ -48,7 +48,7 @@
 std::string requestDigest(const std::vector<std::string> &Parts);
 
 /// Creates the table of records unless it is there.
-statement createRecords();
+statement createRecordTable();
 
 /// Adds a record; fails on the unique key when there is one already.
 statement insertRecord(const request_identity &Identity, request_state State);
@@ -72,13 +72,13 @@
 bool isMissingTable(const base::failure &Failure);
 
 /// What a repeat finds.
-enum class repeat_verdict {
+enum class retry_verdict {
   Done,      ///< The request ran; the record holds its outcome.
   Cancelled, ///< An enquiry cancelled it before it ran.
   Reused,    ///< The id belongs to another request.
 };
 
-repeat_verdict judgeRepeat(const request_record &Record,
-                           const request_identity &Identity);
+retry_verdict classifyRetry(const request_record &Record,
+                            const request_identity &Identity);
 
 } // namespace redwinggw::data
--- a/packages/data/include/redwinggw/data/retry_policy.hpp
+++ b/packages/data/include/redwinggw/data/retry_policy.hpp
@@ -14,14 +14,14 @@
   double Tokens = 20;
   double Limit = 20;
   /// Repeats earned by each request.
-  double Earned = 0.2;
+  double EarnedPerRequest = 0.2;
 };
 
 /// Counts a first try.
 void noteRequest(retry_budget &Budget);
 
 /// Takes one repeat; false when the budget is used up.
-bool takeRetry(retry_budget &Budget);
+bool spendRetry(retry_budget &Budget);
 
 /// Time to wait before try number \p Try (1 for the first repeat): doubled
 /// each time, capped, and spread by \p Random, uniform in [0, 1).
@@ -45,9 +45,9 @@
 
 /// What a failed try allows.
 enum class retry_kind {
-  Never,     ///< The answer is final.
-  Elsewhere, ///< Proved not run: try again, there or elsewhere.
-  SameId,    ///< Outcome unknown: only a repeat that is recognised may follow.
+  Never,    ///< The answer is final.
+  Anywhere, ///< Proved not run: try again, there or elsewhere.
+  SameId,   ///< Outcome unknown: only a repeat that is recognised may follow.
 };
 
 retry_kind retryKindOf(const base::failure &Failure);
--- a/packages/data/include/redwinggw/data/routing.hpp
+++ b/packages/data/include/redwinggw/data/routing.hpp
@@ -15,10 +15,10 @@
 
 /// What a caller told of its session.
 enum class session_kind {
-  Missing, ///< No token: it may have written something that we cannot know.
-  None,    ///< The caller says that there is nothing to be consistent with.
-  Known,   ///< A token that verified.
-  Foreign, ///< A token that did not verify.
+  Missing,  ///< No token: it may have written something that we cannot know.
+  None,     ///< The caller says that there is nothing to be consistent with.
+  Verified, ///< A token that verified.
+  Invalid,  ///< A token that did not verify.
 };
 
 enum class read_policy { Replicas, Primary };
@@ -37,7 +37,7 @@
   /// Requests waiting or running there, of this instance.
   std::size_t Pending = 0;
   /// The circuit is open: recent requests failed.
-  bool Open = false;
+  bool BreakerOpen = false;
 };
 
 struct routing_settings {
--- a/packages/data/src/caller_message.cpp
+++ b/packages/data/src/caller_message.cpp
@@ -20,7 +20,7 @@
 constexpr std::size_t LongestRequestId = 64;
 constexpr std::int64_t MillisecondsASecond = 1000;
 
-failure bad(std::string Detail) {
+failure badRequest(std::string Detail) {
   return {errc::BadRequest, std::move(Detail)};
 }
 
@@ -32,7 +32,7 @@
 
 /// \p Sql without the white space, comments and semicolons before its first
 /// word, behind which a forbidden word could hide.
-std::string_view withoutPreamble(std::string_view Sql) {
+std::string_view withoutLeadingComments(std::string_view Sql) {
   while (!Sql.empty()) {
     if (Sql.starts_with("--")) {
       const std::size_t End = Sql.find('\n');
@@ -50,39 +50,39 @@
   return Sql;
 }
 
-std::string lowered(std::string_view Text) {
-  std::string Lowered(Text);
-  std::ranges::transform(Lowered, Lowered.begin(), [](unsigned char Character) {
+std::string toLower(std::string_view Text) {
+  std::string Lower(Text);
+  std::ranges::transform(Lower, Lower.begin(), [](unsigned char Character) {
     return static_cast<char>(std::tolower(Character));
   });
-  return Lowered;
+  return Lower;
 }
 
 result<void> checkSql(std::string_view Sql) {
-  const std::string Text = lowered(withoutPreamble(Sql));
+  const std::string Text = toLower(withoutLeadingComments(Sql));
   if (Text.empty())
-    return bad("sql is empty; give one statement");
+    return badRequest("sql is empty; give one statement");
   const auto *WordEnd = std::ranges::find_if_not(
       Text.data(), Text.data() + Text.size(),
       [](unsigned char Character) { return std::isalpha(Character) != 0; });
   const std::string_view Word(Text.data(), WordEnd);
   if (std::ranges::find(ForbiddenWords, Word) != ForbiddenWords.end())
-    return bad("sql may not begin with '" + std::string(Word) +
-               "'; use /v1/begin, /v1/commit and /v1/rollback");
+    return badRequest("sql may not begin with '" + std::string(Word) +
+                      "'; use /v1/begin, /v1/commit and /v1/rollback");
   if (Text.find("redwinggw_") != std::string::npos)
-    return bad("sql may not name tables that begin with 'redwinggw_'");
+    return badRequest("sql may not name tables that begin with 'redwinggw_'");
   return {};
 }
 
 /// Reads fields of one JSON object and remembers the first fault.
 struct field_reader {
   const json::object &Object;
-  std::optional<failure> Fault;
+  std::optional<failure> FirstError;
 
   void fail(std::string_view Name, std::string_view Allowed) {
-    if (!Fault)
-      Fault = bad("field '" + std::string(Name) + "' must be " +
-                  std::string(Allowed));
+    if (!FirstError)
+      FirstError = badRequest("field '" + std::string(Name) + "' must be " +
+                              std::string(Allowed));
   }
 };
 
@@ -175,7 +175,7 @@
   boost::system::error_code Error;
   const json::value Value = json::parse(Body, Error);
   if (Error || !Value.is_object())
-    return bad("the body must be a JSON object");
+    return badRequest("the body must be a JSON object");
   field_reader Reader{Value.get_object(), {}};
   caller_request Request;
   Request.Service = readText(Reader, "service", Needed.Service);
@@ -187,17 +187,17 @@
   Request.Session = readText(Reader, "session", false);
   Request.HasSession = !Request.Session.empty();
   Request.Transaction = readText(Reader, "transaction", Needed.Transaction);
-  const bool MustName =
+  const bool NeedsRequestId =
       Needed.RequestId || (Needed.Service && !Needed.Transaction &&
                            Request.Access == access_kind::Write);
-  readIdentity(Reader, Request, MustName);
+  readIdentity(Reader, Request, NeedsRequestId);
   const std::int64_t Deadline =
       readInteger(Reader, "deadline_ms", DefaultDeadline);
   if (Deadline < 1 || Deadline > LongestDeadline)
     Reader.fail("deadline_ms", "from 1 to 60000");
   Request.Deadline = base::milliseconds(Deadline);
-  if (Reader.Fault)
-    return *Reader.Fault;
+  if (Reader.FirstError)
+    return *Reader.FirstError;
   if (Needed.Sql)
     if (const auto Checked = checkSql(Request.Statement.Sql); !Checked)
       return Checked.error();
--- a/packages/data/src/caller_server.cpp
+++ b/packages/data/src/caller_server.cpp
@@ -34,42 +34,42 @@
 }
 
 /// How a path counts against the customer's rate.
-enum class counting {
-  Free,
+enum class rate_charge {
+  NotCharged,
   /// It may wait for the rate until its deadline.
-  Waits,
+  ChargedWithWait,
   /// It belongs to an open transaction, whose locks others wait for: without a
   /// token in a moment the transaction is rolled back.
-  Brief,
+  ChargedBriefly,
 };
 
 /// Time for a token that is within the rate to come from its giver.
-constexpr base::milliseconds BriefWait{50};
+constexpr base::milliseconds BriefAdmissionWait{50};
 
 /// What a path needs and who serves it.
-struct path_row {
+struct path_handler {
   std::string_view Target;
   caller_fields Needed;
   path_function Serve = nullptr;
   /// It may go on while the instance drains.
   bool WhileDraining = false;
-  counting Counted = counting::Free;
+  rate_charge Charge = rate_charge::NotCharged;
 };
 
-constexpr std::array Paths = std::to_array<path_row>({
+constexpr std::array Paths = std::to_array<path_handler>({
     {.Target = "/v1/statement",
      .Needed = {.Service = true, .Sql = true},
      .Serve = serveStatement,
-     .Counted = counting::Waits},
+     .Charge = rate_charge::ChargedWithWait},
     {.Target = "/v1/begin",
      .Needed = {.Service = true},
      .Serve = beginTransaction,
-     .Counted = counting::Waits},
+     .Charge = rate_charge::ChargedWithWait},
     {.Target = "/v1/run",
      .Needed = {.Sql = true, .Transaction = true},
      .Serve = runInTransaction,
      .WhileDraining = true,
-     .Counted = counting::Brief},
+     .Charge = rate_charge::ChargedBriefly},
     {.Target = "/v1/commit",
      .Needed = {.Transaction = true},
      .Serve = commitTransaction,
@@ -114,7 +114,7 @@
   }
   const auto Session =
       decodeToken(Core.Settings.FleetKey, Call.Customer, Request.Session);
-  Call.SessionKind = Session ? session_kind::Known : session_kind::Foreign;
+  Call.SessionKind = Session ? session_kind::Verified : session_kind::Invalid;
   Call.Session = Session.value_or(session_state{});
 }
 
@@ -138,7 +138,7 @@
   return {};
 }
 
-result<call> prepare(const statement_core &Core, const path_row &Path,
+result<call> prepare(const statement_core &Core, const path_handler &Path,
                      const http::request &Message) {
   auto Call = authenticate(Core, Message.Authorization);
   if (!Call)
@@ -155,13 +155,13 @@
   return Call;
 }
 
-base::task<result<void>> admit(statement_core &Core, counting Counting,
+base::task<result<void>> admit(statement_core &Core, rate_charge Charge,
                                const call &Call) {
-  if (Counting == counting::Free)
+  if (Charge == rate_charge::NotCharged)
     co_return result<void>();
   base::instant Deadline = Call.Deadline;
-  if (Counting == counting::Brief)
-    Deadline = std::min(Deadline, base::now() + BriefWait);
+  if (Charge == rate_charge::ChargedBriefly)
+    Deadline = std::min(Deadline, base::now() + BriefAdmissionWait);
   const auto Admitted = co_await Core.Ports.Admit(Call.Customer, Deadline);
   if (Admitted)
     noteRequest(Core.Budget);
@@ -169,7 +169,7 @@
 }
 
 base::task<result<caller_answer>>
-serve(statement_core &Core, transaction_table &Table, const path_row &Path,
+serve(statement_core &Core, transaction_table &Table, const path_handler &Path,
       http::request Message, request_trace &Trace) {
   if (Core.Draining && !Path.WhileDraining)
     co_return failure(errc::Draining, Core.Settings.Instance, DrainRetryAfter);
@@ -180,9 +180,9 @@
   Trace.Access = Call->Request.Access;
   Trace.RequestId = Call->Request.RequestId;
   noteReceived(Core, Trace);
-  const auto Admitted = co_await admit(Core, Path.Counted, *Call);
+  const auto Admitted = co_await admit(Core, Path.Charge, *Call);
   if (!Admitted) {
-    if (Path.Counted == counting::Brief)
+    if (Path.Charge == rate_charge::ChargedBriefly)
       abandonTransaction(Core, Table, *Call);
     co_return Admitted.error();
   }
@@ -205,7 +205,7 @@
   if (Request.Target == "/healthz")
     co_return health(Core);
   const auto *Path = std::ranges::find(Paths, std::string_view(Request.Target),
-                                       &path_row::Target);
+                                       &path_handler::Target);
   if (Path == Paths.end())
     co_return toResponse(failure(errc::NotFound, "path"));
   result<caller_answer> Answer = failure(errc::Internal);
--- a/packages/data/src/endpoint.cpp
+++ b/packages/data/src/endpoint.cpp
@@ -161,8 +161,9 @@
   return Result;
 }
 
-base::task<base::result<endpoint_state>>
-control(http::client &Client, http::request Request, base::instant Deadline) {
+base::task<base::result<endpoint_state>> sendCommand(http::client &Client,
+                                                     http::request Request,
+                                                     base::instant Deadline) {
   const auto Response = co_await Client.exchange(Request, Deadline);
   if (!Response)
     co_return Response.error();
@@ -186,7 +187,7 @@
   if (!Connected)
     co_return Connected.error();
   http::request Request = post("/connect", std::move(Instance), {});
-  auto State = co_await control(Client, std::move(Request), Deadline);
+  auto State = co_await sendCommand(Client, std::move(Request), Deadline);
   if (!State)
     Client.close();
   co_return State;
@@ -212,7 +213,7 @@
                           {"term", Request.Term},
                           {"timeout_ms", Request.Timeout.count()}};
   http::request Message = post("/status", std::move(Instance), Body);
-  co_return co_await control(Client, std::move(Message), Deadline);
+  co_return co_await sendCommand(Client, std::move(Message), Deadline);
 }
 
 base::task<base::result<endpoint_state>>
@@ -220,7 +221,7 @@
      std::string Instance, base::instant Deadline) {
   const json::object Body{{"term", Term}, {"order", Order}};
   http::request Message = post("/seal", std::move(Instance), Body);
-  co_return co_await control(Client, std::move(Message), Deadline);
+  co_return co_await sendCommand(Client, std::move(Message), Deadline);
 }
 
 base::task<base::result<endpoint_state>>
@@ -232,7 +233,7 @@
     List.push_back(membersOf(Member));
   const json::object Body{{"term", Term}, {"order", Order}, {"members", List}};
   http::request Message = post("/promote", std::move(Instance), Body);
-  co_return co_await control(Client, std::move(Message), Deadline);
+  co_return co_await sendCommand(Client, std::move(Message), Deadline);
 }
 
 base::task<base::result<endpoint_state>>
@@ -241,7 +242,7 @@
   const json::object Body{
       {"term", Term}, {"order", Order}, {"primary", membersOf(Primary)}};
   http::request Message = post("/follow", std::move(Instance), Body);
-  co_return co_await control(Client, std::move(Message), Deadline);
+  co_return co_await sendCommand(Client, std::move(Message), Deadline);
 }
 
 std::string_view roleName(endpoint_role Role) {
--- a/packages/data/src/pinned_connection.cpp
+++ b/packages/data/src/pinned_connection.cpp
@@ -52,9 +52,9 @@
   const auto Acquired = co_await acquireSlot(Pinned, Call);
   if (!Acquired)
     co_return failed(Acquired.error());
-  if (const auto May = mayStillRun(Core, Call); !May) {
+  if (const auto Allowed = mayStillRun(Core, Call); !Allowed) {
     Target->release(Call.Customer, {}, std::nullopt);
-    co_return failed(May.error());
+    co_return failed(Allowed.error());
   }
   const base::instant Deadline =
       std::min(Call.Deadline, base::now() + Core.Settings.TryTimeout);
--- a/packages/data/src/read_path.cpp
+++ b/packages/data/src/read_path.cpp
@@ -56,8 +56,8 @@
   co_await Timer.async_wait(Token);
 }
 
-result<caller_answer> delivered(run_answer Answer, std::string Session,
-                                std::string_view ServedBy) {
+result<caller_answer> toCallerAnswer(run_answer Answer, std::string Session,
+                                     std::string_view ServedBy) {
   if (Answer.Results.empty())
     return failure(errc::TruncatedAnswer, "no result");
   caller_answer Delivered;
@@ -107,7 +107,8 @@
   ++Core.Counters.ReadsAtReplica;
   std::string Session =
       tokenAfter(Core, Call, Ran.Answer->State.Term, Ran.Answer->Position);
-  co_return delivered(std::move(*Ran.Answer), std::move(Session), "replica");
+  co_return toCallerAnswer(std::move(*Ran.Answer), std::move(Session),
+                           "replica");
 }
 
 /// One try at the primary. The answer counts only once a majority has
@@ -137,7 +138,8 @@
   if (!Confirmed)
     co_return Confirmed.error();
   std::string Session = tokenAfter(Core, Call, Term, Position);
-  co_return delivered(std::move(*Ran.Answer), std::move(Session), "primary");
+  co_return toCallerAnswer(std::move(*Ran.Answer), std::move(Session),
+                           "primary");
 }
 
 /// A read that got no answer has had no effect, whatever happened to it.
--- a/packages/data/src/request_record.cpp
+++ b/packages/data/src/request_record.cpp
@@ -40,7 +40,7 @@
   return base::digestOf(All);
 }
 
-statement createRecords() {
+statement createRecordTable() {
   return {"create table if not exists redwinggw_request("
           "customer text not null, id text not null, digest text not null, "
           "issued_at integer not null, state text not null, "
@@ -105,13 +105,13 @@
              std::string::npos;
 }
 
-repeat_verdict judgeRepeat(const request_record &Record,
-                           const request_identity &Identity) {
+retry_verdict classifyRetry(const request_record &Record,
+                            const request_identity &Identity) {
   if (Record.State == request_state::Cancelled)
-    return repeat_verdict::Cancelled;
+    return retry_verdict::Cancelled;
   if (!Identity.Digest.empty() && Record.Digest != Identity.Digest)
-    return repeat_verdict::Reused;
-  return repeat_verdict::Done;
+    return retry_verdict::Reused;
+  return retry_verdict::Done;
 }
 
 } // namespace redwinggw::data
--- a/packages/data/src/retry_policy.cpp
+++ b/packages/data/src/retry_policy.cpp
@@ -24,10 +24,11 @@
 } // namespace
 
 void noteRequest(retry_budget &Budget) {
-  Budget.Tokens = std::min(Budget.Limit, Budget.Tokens + Budget.Earned);
+  Budget.Tokens =
+      std::min(Budget.Limit, Budget.Tokens + Budget.EarnedPerRequest);
 }
 
-bool takeRetry(retry_budget &Budget) {
+bool spendRetry(retry_budget &Budget) {
   if (Budget.Tokens < 1)
     return false;
   Budget.Tokens -= 1;
@@ -63,7 +64,7 @@
   case errc::NotPrimary:
   case errc::TermReplaced:
   case errc::NoPrimary:
-    return retry_kind::Elsewhere;
+    return retry_kind::Anywhere;
   case errc::OutcomeUnknown:
   case errc::TruncatedAnswer:
     return retry_kind::SameId;
--- a/packages/data/src/routing.cpp
+++ b/packages/data/src/routing.cpp
@@ -9,7 +9,7 @@
 
 /// Replicas tell their position about every 100 ms; one that is silent for so
 /// long is not a candidate.
-constexpr base::milliseconds StateBound{1000};
+constexpr base::milliseconds MaxStateAge{1000};
 
 /// Added to an estimated catch-up time, for the ship time and jitter.
 constexpr base::milliseconds CatchUpMargin{5};
@@ -35,7 +35,7 @@
 bool isServingReplica(const group_view &View, const member_view &Member,
                       const endpoint_state &State, base::instant Now) {
   return State.Role == endpoint_role::Replica && State.Term == View.Term &&
-         !Member.Leaving && Now - Member.AskedAt < StateBound;
+         !Member.Leaving && Now - Member.AskedAt < MaxStateAge;
 }
 
 /// Time until the replica is expected to hold \p Position: the primary reached
@@ -57,13 +57,13 @@
 }
 
 std::optional<base::microseconds>
-waitFor(const group_view &View, const member_view &Member,
-        base::log_position Applied, const read_request &Read,
-        const routing_settings &Settings, base::instant Now) {
+replicaWaitFor(const group_view &View, const member_view &Member,
+               base::log_position Applied, const read_request &Read,
+               const routing_settings &Settings, base::instant Now) {
   const auto Age = ageOf(View, Applied, Now);
-  const bool YoungEnough =
+  const bool RecentEnough =
       Settings.MutateIgnoreAge || (Age && *Age <= Read.MaxAge);
-  if (!YoungEnough)
+  if (!RecentEnough)
     return std::nullopt;
   if (!Read.Position || Settings.MutateIgnoreSession)
     return base::microseconds(0);
@@ -76,8 +76,8 @@
 } // namespace
 
 bool mayUseReplica(const read_request &Read, const routing_settings &Settings) {
-  const bool SessionKnown =
-      Read.Session == session_kind::Known || Read.Session == session_kind::None;
+  const bool SessionKnown = Read.Session == session_kind::Verified ||
+                            Read.Session == session_kind::None;
   return Settings.Policy == read_policy::Replicas && SessionKnown &&
          Read.MaxAge > base::milliseconds(0);
 }
@@ -97,11 +97,11 @@
   std::vector<candidate> Candidates;
   for (const member_view &Member : View.Members) {
     const endpoint_load *Load = loadOf(Loads, Member.Endpoint.Name);
-    if (!Member.State || (Load != nullptr && Load->Open) ||
+    if (!Member.State || (Load != nullptr && Load->BreakerOpen) ||
         !isServingReplica(View, Member, *Member.State, Now))
       continue;
-    if (const auto Wait =
-            waitFor(View, Member, Member.State->Applied, Read, Settings, Now))
+    if (const auto Wait = replicaWaitFor(View, Member, Member.State->Applied,
+                                         Read, Settings, Now))
       Candidates.push_back({&Member, *Wait, Member.Endpoint.Zone != Zone,
                             Load == nullptr ? 0 : Load->Pending});
   }
--- a/packages/data/src/statement_core.cpp
+++ b/packages/data/src/statement_core.cpp
@@ -33,9 +33,9 @@
   return Result.Answer.has_value() || Result.Failed.Refusal != refusal::None;
 }
 
-void settle(statement_core &Core, dispatcher &Target, const call &Call,
-            connection_handle Connection, const run_result &Result,
-            base::instant SentAt) {
+void finishRun(statement_core &Core, dispatcher &Target, const call &Call,
+               connection_handle Connection, const run_result &Result,
+               base::instant SentAt) {
   const bool Answered = hasAnswered(Result);
   if (Result.Answer)
     Core.Ports.NoteState(Target.endpoint().Group, Result.Answer->State, SentAt);
@@ -58,7 +58,7 @@
 /// Failures that reached no endpoint. Such a request waits for the group to get
 /// a primary that answers; it adds no load, so it takes nothing from the
 /// budget of repeats.
-bool isWithoutPrimary(const failure &Failure) {
+bool hasNoWorkingPrimary(const failure &Failure) {
   switch (kindOf(Failure)) {
   case errc::EndpointUnreachable:
   case errc::NotPrimary:
@@ -133,9 +133,9 @@
   const auto Acquired = co_await Target->acquire(Call.Customer, Call.Deadline);
   if (!Acquired)
     co_return failed(Acquired.error());
-  if (const auto May = mayStillRun(Core, Call); !May) {
+  if (const auto Allowed = mayStillRun(Core, Call); !Allowed) {
     Target->release(Call.Customer, {}, std::nullopt);
-    co_return failed(May.error());
+    co_return failed(Allowed.error());
   }
   const base::instant Deadline =
       std::min(Call.Deadline, base::now() + Core.Settings.TryTimeout);
@@ -154,7 +154,7 @@
                     Call.Request.RequestId);
   run_result Result = co_await run((*Connection)->Client, Request,
                                    Core.Settings.Instance, Deadline);
-  settle(Core, *Target, Call, std::move(*Connection), Result, SentAt);
+  finishRun(Core, *Target, Call, std::move(*Connection), Result, SentAt);
   co_return Result;
 }
 
@@ -180,8 +180,8 @@
 
 base::task<result<void>> awaitRetry(statement_core &Core, const call &Call,
                                     unsigned Try, const failure &Last) {
-  const bool Parked = isWithoutPrimary(Last);
-  if (!Parked && !takeRetry(Core.Budget)) {
+  const bool AwaitsPrimary = hasNoWorkingPrimary(Last);
+  if (!AwaitsPrimary && !spendRetry(Core.Budget)) {
     ++Core.Counters.RetriesRefused;
     co_return Last;
   }
@@ -192,7 +192,7 @@
       co_return Last;
     asio::steady_timer Timer(Core.Executor, Pause);
     co_await Timer.async_wait(Token);
-  } while (Parked && isPrimaryFailing(Core, Call.Group));
+  } while (AwaitsPrimary && isPrimaryFailing(Core, Call.Group));
   co_return result<void>();
 }
 
--- a/packages/data/src/transaction_table.cpp
+++ b/packages/data/src/transaction_table.cpp
@@ -15,7 +15,8 @@
 
 /// The open transaction of \p Call. Fails also for one of another customer:
 /// ids are no proof of who asks.
-result<open_transaction *> findOwn(transaction_table &Table, const call &Call) {
+result<open_transaction *> findTransaction(transaction_table &Table,
+                                           const call &Call) {
   const auto Found = Table.Open.find(Call.Request.Transaction);
   if (Found == Table.Open.end() || Found->second.Customer != Call.Customer)
     return failure(errc::TransactionLost,
@@ -27,7 +28,7 @@
 }
 
 /// Copies into \p Call what the transaction was begun with.
-void adopt(call &Call, const open_transaction &Transaction) {
+void copyBeginState(call &Call, const open_transaction &Transaction) {
   Call.Group = Transaction.Group;
   Call.SessionKind = Transaction.SessionKind;
   Call.Session = Transaction.Session;
@@ -46,9 +47,9 @@
 
 /// Runs in the transaction and marks it busy meanwhile, so that nothing else
 /// closes or uses its connection.
-base::task<run_result> runMarked(statement_core &Core,
-                                 open_transaction &Transaction, call &Call,
-                                 run_request Request) {
+base::task<run_result> runMarkedBusy(statement_core &Core,
+                                     open_transaction &Transaction, call &Call,
+                                     run_request Request) {
   Transaction.Busy = true;
   Request.ExpectTerm = Transaction.Term;
   Request.ReadOnly = Transaction.Access == access_kind::Read;
@@ -61,14 +62,14 @@
 
 /// A run before the commit that failed leaves nothing: the endpoint rolls
 /// back when the statement fails or when the connection closes.
-failure asLost(const failure &Failure) {
+failure asTransactionLost(const failure &Failure) {
   const bool Known = retryKindOf(Failure) == retry_kind::Never;
   return Known ? Failure : failure(errc::TransactionLost, Failure.Detail);
 }
 
-result<caller_answer> repeated(const found_record &Found,
-                               const request_identity &Identity,
-                               const failure &Refused) {
+result<caller_answer> answerRetry(const found_record &Found,
+                                  const request_identity &Identity,
+                                  const failure &Refused) {
   if (!Found.Record)
     return Refused;
   return answerOf(*Found.Record, Identity);
@@ -103,18 +104,18 @@
   if (Writes)
     Request.Statements = {insertRecord(Identity, request_state::Done)};
   run_result Ran =
-      co_await runMarked(Core, Transaction, Call, std::move(Request));
+      co_await runMarkedBusy(Core, Transaction, Call, std::move(Request));
   if (!Ran.Answer) {
     unpin(Core, Transaction.Pinned, false);
     if (isMissingTable(Ran.Failed.Failure))
       co_return failure(errc::EndpointRefused,
                         "the table of records is missing; write once first");
     if (Ran.Failed.Refusal != refusal::UniqueKey)
-      co_return asLost(Ran.Failed.Failure);
+      co_return asTransactionLost(Ran.Failed.Failure);
     const auto Found = co_await readRecord(Core, Call, Identity);
     if (!Found)
       co_return Found.error();
-    co_return repeated(*Found, Identity, Ran.Failed.Failure);
+    co_return answerRetry(*Found, Identity, Ran.Failed.Failure);
   }
   caller_answer Answer;
   Answer.Transaction = Core.Settings.Instance + "-" + base::randomId();
@@ -127,15 +128,16 @@
 
 base::task<result<caller_answer>>
 runInTransaction(statement_core &Core, transaction_table &Table, call Call) {
-  auto Found = findOwn(Table, Call);
+  auto Found = findTransaction(Table, Call);
   if (!Found)
     co_return Found.error();
-  adopt(Call, **Found);
+  copyBeginState(Call, **Found);
   run_request Request;
   Request.Statements = {Call.Request.Statement};
-  run_result Ran = co_await runMarked(Core, **Found, Call, std::move(Request));
+  run_result Ran =
+      co_await runMarkedBusy(Core, **Found, Call, std::move(Request));
   if (!Ran.Answer || Ran.Answer->Results.empty()) {
-    const failure Lost = asLost(Ran.Failed.Failure);
+    const failure Lost = asTransactionLost(Ran.Failed.Failure);
     // A refusal says that the endpoint has rolled back: the connection is free.
     close(Core, Table, Call.Request.Transaction,
           Ran.Failed.Refusal != refusal::None);
@@ -150,14 +152,15 @@
 
 base::task<result<caller_answer>>
 commitTransaction(statement_core &Core, transaction_table &Table, call Call) {
-  auto Found = findOwn(Table, Call);
+  auto Found = findTransaction(Table, Call);
   if (!Found)
     co_return Found.error();
-  adopt(Call, **Found);
+  copyBeginState(Call, **Found);
   const base::term_number Term = (*Found)->Term;
   run_request Request;
   Request.Commit = true;
-  run_result Ran = co_await runMarked(Core, **Found, Call, std::move(Request));
+  run_result Ran =
+      co_await runMarkedBusy(Core, **Found, Call, std::move(Request));
   close(Core, Table, Call.Request.Transaction, Ran.Answer.has_value());
   if (!Ran.Answer)
     co_return Ran.Failed.Failure;
@@ -174,14 +177,14 @@
 
 base::task<result<caller_answer>>
 rollBackTransaction(statement_core &Core, transaction_table &Table, call Call) {
-  auto Found = findOwn(Table, Call);
+  auto Found = findTransaction(Table, Call);
   if (!Found)
     co_return Found.error();
-  adopt(Call, **Found);
+  copyBeginState(Call, **Found);
   run_request Request;
   Request.Rollback = true;
   const run_result Ran =
-      co_await runMarked(Core, **Found, Call, std::move(Request));
+      co_await runMarkedBusy(Core, **Found, Call, std::move(Request));
   close(Core, Table, Call.Request.Transaction, Ran.Answer.has_value());
   // Without an answer the closed connection rolls back.
   co_return caller_answer{};
@@ -189,7 +192,7 @@
 
 void abandonTransaction(statement_core &Core, transaction_table &Table,
                         const call &Call) {
-  if (findOwn(Table, Call))
+  if (findTransaction(Table, Call))
     close(Core, Table, Call.Request.Transaction, false);
 }
 
--- a/packages/data/src/write_path.cpp
+++ b/packages/data/src/write_path.cpp
@@ -21,7 +21,7 @@
 };
 
 /// What one try came to.
-struct write_step {
+struct write_try {
   std::optional<caller_answer> Answer;
   failure Failure;
 };
@@ -31,7 +31,7 @@
   return Changes == nullptr ? 0 : Changes->to_number<std::int64_t>();
 }
 
-write_step stopped(failure Failure) {
+write_try failedTry(failure Failure) {
   return {std::nullopt, std::move(Failure)};
 }
 
@@ -47,12 +47,12 @@
 }
 
 /// The table of records is made on first use of a group.
-base::task<failure> makeRecords(statement_core &Core, call &Call,
-                                std::shared_ptr<dispatcher> Target,
-                                base::term_number Term) {
+base::task<failure> ensureRecordTable(statement_core &Core, call &Call,
+                                      std::shared_ptr<dispatcher> Target,
+                                      base::term_number Term) {
   run_request Request;
   Request.ExpectTerm = Term;
-  Request.Statements = {createRecords()};
+  Request.Statements = {createRecordTable()};
   run_result Ran =
       co_await runAt(Core, std::move(Target), Call, std::move(Request));
   if (!Ran.Answer)
@@ -64,35 +64,36 @@
 
 /// The unique key of the record, or one of the statement's own, was taken:
 /// answers with what the record says, or with \p Missing when there is none.
-base::task<write_step> meetRecord(statement_core &Core, call &Call,
-                                  const write_attempt &Attempt,
-                                  failure Missing) {
+base::task<write_try> answerFromRecord(statement_core &Core, call &Call,
+                                       const write_attempt &Attempt,
+                                       failure Missing) {
   const auto Found = co_await readRecord(Core, Call, Attempt.Identity);
   if (!Found)
-    co_return stopped(Found.error());
+    co_return failedTry(Found.error());
   const std::optional<request_record> &Record = Found->Record;
   if (!Record)
-    co_return stopped(std::move(Missing));
+    co_return failedTry(std::move(Missing));
   auto Answer = answerOf(*Record, Attempt.Identity);
   if (!Answer)
-    co_return stopped(Answer.error());
+    co_return failedTry(Answer.error());
   Answer->Session = tokenAfter(Core, Call, Found->Term, Found->Position);
-  co_return write_step{std::move(*Answer), {}};
+  co_return write_try{std::move(*Answer), {}};
 }
 
 /// Waits until every promotion must find the write, then words the answer.
-base::task<write_step> confirmed(statement_core &Core, call &Call,
-                                 json::value Result, base::term_number Term,
-                                 base::log_position Position) {
+base::task<write_try> awaitConfirmation(statement_core &Core, call &Call,
+                                        json::value Result,
+                                        base::term_number Term,
+                                        base::log_position Position) {
   const auto Confirmed = co_await Core.Ports.Confirm(
       Call.Group, Term, Position, Call.Deadline, confirm_kind::Replicated);
   if (!Confirmed)
-    co_return stopped(Confirmed.error());
+    co_return failedTry(Confirmed.error());
   caller_answer Answer;
   Answer.Result = std::move(Result);
   Answer.Session = tokenAfter(Core, Call, Term, Position);
   Answer.ServedBy = "primary";
-  co_return write_step{std::move(Answer), {}};
+  co_return write_try{std::move(Answer), {}};
 }
 
 /// A write that returns rows takes a second round trip: the rows go into its
@@ -141,19 +142,19 @@
   co_return co_await runAt(Core, Target, Call, std::move(Request));
 }
 
-base::task<write_step> tryWrite(statement_core &Core, call &Call,
-                                write_attempt &Attempt) {
+base::task<write_try> tryWrite(statement_core &Core, call &Call,
+                               write_attempt &Attempt) {
   const auto View = co_await awaitPrimary(Core, Call);
   if (!View)
-    co_return stopped(View.error());
+    co_return failedTry(View.error());
   const base::term_number Term = (*View)->Term;
   const std::shared_ptr<dispatcher> Target = primaryOf(Core, **View);
   run_result Ran = co_await runRecorded(Core, Call, Target, Attempt, Term);
   if (Ran.Answer && Ran.Answer->Results.size() > 1) {
     json::value Result = std::move(Ran.Answer->Results[1]);
     const base::log_position Position = Ran.Answer->Position;
-    write_step Step =
-        co_await confirmed(Core, Call, std::move(Result), Term, Position);
+    write_try Step = co_await awaitConfirmation(Core, Call, std::move(Result),
+                                                Term, Position);
     if (!Step.Answer)
       Attempt.MayHaveRun = true;
     co_return Step;
@@ -163,19 +164,19 @@
   if (retryKindOf(Failure) == retry_kind::SameId)
     Attempt.MayHaveRun = true;
   if (Ran.Failed.Refusal == refusal::UniqueKey)
-    co_return co_await meetRecord(Core, Call, Attempt, Failure);
+    co_return co_await answerFromRecord(Core, Call, Attempt, Failure);
   if (isMissingTable(Failure))
-    co_return stopped(co_await makeRecords(Core, Call, Target, Term));
-  co_return stopped(Failure);
+    co_return failedTry(co_await ensureRecordTable(Core, Call, Target, Term));
+  co_return failedTry(Failure);
 }
 
 /// Cancels the request unless it has run, in one step: the record takes the
 /// unique key, so that a try which is still on its way finds it taken.
-base::task<write_step> tryOutcome(statement_core &Core, call &Call,
-                                  const write_attempt &Attempt) {
+base::task<write_try> tryOutcome(statement_core &Core, call &Call,
+                                 const write_attempt &Attempt) {
   const auto View = co_await awaitPrimary(Core, Call);
   if (!View)
-    co_return stopped(View.error());
+    co_return failedTry(View.error());
   const base::term_number Term = (*View)->Term;
   const std::shared_ptr<dispatcher> Target = primaryOf(Core, **View);
   run_request Request;
@@ -187,15 +188,15 @@
     const auto Confirmed =
         co_await Core.Ports.Confirm(Call.Group, Term, Ran.Answer->Position,
                                     Call.Deadline, confirm_kind::Replicated);
-    co_return stopped(Confirmed ? failure(errc::RequestCancelled)
-                                : Confirmed.error());
+    co_return failedTry(Confirmed ? failure(errc::RequestCancelled)
+                                  : Confirmed.error());
   }
   if (isMissingTable(Ran.Failed.Failure))
-    co_return stopped(co_await makeRecords(Core, Call, Target, Term));
+    co_return failedTry(co_await ensureRecordTable(Core, Call, Target, Term));
   if (Ran.Failed.Refusal != refusal::UniqueKey)
-    co_return stopped(Ran.Failed.Failure);
+    co_return failedTry(Ran.Failed.Failure);
   failure Gone(errc::OutcomeUnknown, "the record is gone");
-  co_return co_await meetRecord(Core, Call, Attempt, std::move(Gone));
+  co_return co_await answerFromRecord(Core, Call, Attempt, std::move(Gone));
 }
 
 /// Whether another try may settle the outcome. Each try carries the same
@@ -231,12 +232,12 @@
 
 result<caller_answer> answerOf(const request_record &Record,
                                const request_identity &Identity) {
-  switch (judgeRepeat(Record, Identity)) {
-  case repeat_verdict::Cancelled:
+  switch (classifyRetry(Record, Identity)) {
+  case retry_verdict::Cancelled:
     return failure(errc::RequestCancelled);
-  case repeat_verdict::Reused:
+  case retry_verdict::Reused:
     return failure(errc::RequestIdReused);
-  case repeat_verdict::Done:
+  case retry_verdict::Done:
     break;
   }
   caller_answer Answer;
@@ -279,7 +280,7 @@
   if (!Aged)
     co_return Aged.error();
   for (unsigned Try = 1;; ++Try) {
-    write_step Step = co_await tryWrite(Core, Call, Attempt);
+    write_try Step = co_await tryWrite(Core, Call, Attempt);
     if (Step.Answer)
       co_return std::move(*Step.Answer);
     if (!mayTryAgain(Step.Failure))
@@ -300,7 +301,7 @@
   if (!Aged)
     co_return Aged.error();
   for (unsigned Try = 1;; ++Try) {
-    write_step Step = co_await tryOutcome(Core, Call, Attempt);
+    write_try Step = co_await tryOutcome(Core, Call, Attempt);
     if (Step.Answer)
       co_return std::move(*Step.Answer);
     if (!mayTryAgain(Step.Failure))
--- a/tests/data/request_record_test.cpp
+++ b/tests/data/request_record_test.cpp
@@ -44,9 +44,9 @@
   const request_record Done{request_state::Done, "digest", 1, ""};
   const request_record Other{request_state::Done, "other", 1, ""};
   const request_record Cancelled{request_state::Cancelled, "other", 0, ""};
-  cr_assert(judgeRepeat(Done, Identity) == repeat_verdict::Done);
-  cr_assert(judgeRepeat(Other, Identity) == repeat_verdict::Reused);
+  cr_assert(classifyRetry(Done, Identity) == retry_verdict::Done);
+  cr_assert(classifyRetry(Other, Identity) == retry_verdict::Reused);
   const request_identity Enquiry{"dulce", "id", Now, ""};
-  cr_assert(judgeRepeat(Other, Enquiry) == repeat_verdict::Done);
-  cr_assert(judgeRepeat(Cancelled, Identity) == repeat_verdict::Cancelled);
+  cr_assert(classifyRetry(Other, Enquiry) == retry_verdict::Done);
+  cr_assert(classifyRetry(Cancelled, Identity) == retry_verdict::Cancelled);
 }
--- a/tests/data/retry_policy_test.cpp
+++ b/tests/data/retry_policy_test.cpp
@@ -19,7 +19,7 @@
   int Repeats = 0;
   for (int Request = 0; Request < 1000; ++Request) {
     noteRequest(Budget);
-    while (takeRetry(Budget))
+    while (spendRetry(Budget))
       ++Repeats;
   }
   cr_assert(Repeats <= 220);
@@ -49,7 +49,7 @@
   using base::errc;
   cr_assert(retryKindOf({errc::OutcomeUnknown}) == retry_kind::SameId);
   cr_assert(retryKindOf({errc::TruncatedAnswer}) == retry_kind::SameId);
-  cr_assert(retryKindOf({errc::NotPrimary}) == retry_kind::Elsewhere);
+  cr_assert(retryKindOf({errc::NotPrimary}) == retry_kind::Anywhere);
   cr_assert(retryKindOf({errc::StatementFailed}) == retry_kind::Never);
   cr_assert(retryKindOf({errc::DeadlinePassed}) == retry_kind::Never);
 }
--- a/tests/data/routing_test.cpp
+++ b/tests/data/routing_test.cpp
@@ -36,7 +36,8 @@
 }
 
 read_request sessionRead(base::log_position Position) {
-  return {session_kind::Known, group_position{"orders", 1, Position}, Accepts};
+  return {session_kind::Verified, group_position{"orders", 1, Position},
+          Accepts};
 }
 
 route routed(const read_request &Read, const std::string &Zone = "b",
@@ -72,7 +73,7 @@
   read_request Read = sessionRead(90);
   Read.Position.reset();
   for (const session_kind Kind :
-       {session_kind::Missing, session_kind::Foreign}) {
+       {session_kind::Missing, session_kind::Invalid}) {
     Read.Session = Kind;
     cr_assert(!routed(Read).Replica);
   }
--- a/tests/data/statement_core_test.cpp
+++ b/tests/data/statement_core_test.cpp
@@ -78,7 +78,7 @@
   call Call = queuedCall();
   cr_assert(mayStillRun(Fixture.Core, Call).has_value());
   Fixture.Current = false;
-  const auto May = mayStillRun(Fixture.Core, Call);
-  cr_assert(May.has_error());
-  cr_assert(kindOf(May.error()) == base::errc::StaleConfiguration);
+  const auto Allowed = mayStillRun(Fixture.Core, Call);
+  cr_assert(Allowed.has_error());
+  cr_assert(kindOf(Allowed.error()) == base::errc::StaleConfiguration);
 }
--- a/tests/matrix/instance_model.cpp
+++ b/tests/matrix/instance_model.cpp
@@ -24,9 +24,9 @@
 
 /// Asks an endpoint something that it serves by \p Serve, which tells whether
 /// it accepted; the answer carries the state after it.
-void control(world &World, instance_model &Instance, const node &Member,
-             data::member_request Request,
-             std::function<bool(endpoint_model &)> Serve);
+void sendCommand(world &World, instance_model &Instance, const node &Member,
+                 data::member_request Request,
+                 std::function<bool(endpoint_model &)> Serve);
 
 void process(world &World, instance_model &Instance,
              const data::failover_event &Event);
@@ -92,17 +92,19 @@
         World.History.Orders.emplace(Command.Term, Command.Order);
     if (!New && Known->second != Command.Order)
       World.History.Broken.insert("one order a term");
-    control(World, Instance, Command.Member.Name, data::member_request::Seal,
-            [Command](endpoint_model &Endpoint) {
-              return serveSeal(Endpoint, Command.Term, Command.Order);
-            });
+    sendCommand(World, Instance, Command.Member.Name,
+                data::member_request::Seal,
+                [Command](endpoint_model &Endpoint) {
+                  return serveSeal(Endpoint, Command.Term, Command.Order);
+                });
   }
 
   void operator()(const data::promote_member &Command) const {
-    control(World, Instance, Command.Member.Name, data::member_request::Promote,
-            [World = &World, Command](endpoint_model &Endpoint) {
-              return servePromote(*World, Endpoint, Command);
-            });
+    sendCommand(World, Instance, Command.Member.Name,
+                data::member_request::Promote,
+                [World = &World, Command](endpoint_model &Endpoint) {
+                  return servePromote(*World, Endpoint, Command);
+                });
   }
 
   void operator()(const data::follow_member &Command) const {
@@ -113,9 +115,9 @@
   }
 };
 
-void control(world &World, instance_model &Instance, const node &Member,
-             data::member_request Request,
-             std::function<bool(endpoint_model &)> Serve) {
+void sendCommand(world &World, instance_model &Instance, const node &Member,
+                 data::member_request Request,
+                 std::function<bool(endpoint_model &)> Serve) {
   const base::instant AskedAt = World.Net.Now;
   const auto Answer = [&World, Member,
                        Serve]() -> std::optional<data::member_answered> {
