--- a/packages/data/src/caller_server.cpp
+++ b/packages/data/src/caller_server.cpp
@@ -28,8 +28,8 @@
   return serveRead(Core, std::move(Call));
 }
 
-base::task<result<caller_answer>> serveEnquiry(statement_core &Core,
-                                               transaction_table &, call Call) {
+base::task<result<caller_answer>>
+serveOutcomeQuery(statement_core &Core, transaction_table &, call Call) {
   return serveOutcome(Core, std::move(Call));
 }
 
@@ -80,7 +80,7 @@
      .WhileDraining = true},
     {.Target = "/v1/outcome",
      .Needed = {.Service = true, .RequestId = true},
-     .Serve = serveEnquiry},
+     .Serve = serveOutcomeQuery},
 });
 
 /// Finds the customer by the key. Asked for each request, so that a withdrawal
--- a/tests/data/caller_message_test.cpp
+++ b/tests/data/caller_message_test.cpp
@@ -12,7 +12,7 @@
 constexpr caller_fields Statement{true, true, false, false};
 
 /// The detail of the refusal, empty when the body is accepted.
-std::string faultOf(const std::string &Body) {
+std::string errorOf(const std::string &Body) {
   const auto Request = parseCallerRequest(Body, Statement);
   return Request ? "" : Request.error().Detail;
 }
@@ -25,19 +25,19 @@
 } // namespace
 
 Test(caller_message, a_read_needs_a_service_and_a_statement) {
-  cr_assert(faultOf(R"({"service":"orders","sql":"select 1"})").empty());
-  cr_assert(faultOf(R"({"sql":"select 1"})").find("service") !=
+  cr_assert(errorOf(R"({"service":"orders","sql":"select 1"})").empty());
+  cr_assert(errorOf(R"({"sql":"select 1"})").find("service") !=
             std::string::npos);
-  cr_assert(faultOf("nonsense").find("JSON") != std::string::npos);
-  cr_assert(faultOf(R"({"service":"orders","sql":"select 1","deadline_ms":0})")
+  cr_assert(errorOf("nonsense").find("JSON") != std::string::npos);
+  cr_assert(errorOf(R"({"service":"orders","sql":"select 1","deadline_ms":0})")
                 .find("deadline_ms") != std::string::npos);
 }
 
-Test(caller_message, a_write_must_name_its_request) {
+Test(caller_message, a_write_requires_a_request_id) {
   const std::string Write =
       R"({"service":"o","sql":"delete from t","access":"write")";
-  cr_assert(faultOf(Write + "}").find("request_id") != std::string::npos);
-  cr_assert(faultOf(Write + R"(,"request_id":"1","issued_at":1764700000000})")
+  cr_assert(errorOf(Write + "}").find("request_id") != std::string::npos);
+  cr_assert(errorOf(Write + R"(,"request_id":"1","issued_at":1764700000000})")
                 .empty());
 }
 
@@ -47,12 +47,12 @@
   for (const char *Sql :
        {"commit", " COMMIT", "-- x\ncommit", "/* x */ ;rollback", "Begin",
         "pragma query_only=0", "select * from REDWINGGW_request", "", " -- "})
-    cr_assert(!faultOf(bodyWithSql(Sql)).empty());
-  cr_assert(faultOf(bodyWithSql("select 'commit'")).empty());
-  cr_assert(faultOf(bodyWithSql("insert into beginnings values(1)")).empty());
+    cr_assert(!errorOf(bodyWithSql(Sql)).empty());
+  cr_assert(errorOf(bodyWithSql("select 'commit'")).empty());
+  cr_assert(errorOf(bodyWithSql("insert into beginnings values(1)")).empty());
 }
 
-Test(caller_message, a_refusal_says_whether_it_ran_and_when_to_come_back) {
+Test(caller_message, a_refusal_reports_its_outcome_and_retry_time) {
   using std::chrono::milliseconds;
   const base::failure Failure(base::errc::OverRate, "", milliseconds(1200));
   const http::response Response = toResponse(Failure);
--- a/tests/data/confirm_test.cpp
+++ b/tests/data/confirm_test.cpp
@@ -49,7 +49,7 @@
 
 } // namespace
 
-Test(confirm, requests_of_one_moment_share_one_question_to_each_replica) {
+Test(confirm, concurrent_requests_share_one_query_to_each_replica) {
   confirm_state State = group();
   confirm_waiter First = waiter(5, confirm_kind::Replicated);
   confirm_waiter Second = waiter(6, confirm_kind::Replicated);
@@ -89,7 +89,7 @@
 // A caller reads an old value after another caller's write was acknowledged.
 // The replaced primary answered, and the proxy took a replica's answer from
 // before the request for proof that the primary was still in place.
-Test(confirm, a_read_needs_an_answer_that_was_asked_for_after_it_came) {
+Test(confirm, a_read_needs_a_query_sent_after_it_arrived) {
   confirm_state State = group();
   const base::instant Before = Start - base::milliseconds(1);
   onConfirmAnswer(State, replica("a", 1, 9), {}, Before);
@@ -114,7 +114,7 @@
             base::errc::TermReplaced);
 }
 
-Test(confirm, a_failed_question_is_asked_again_after_a_pause) {
+Test(confirm, a_failed_query_is_sent_again_after_a_delay) {
   confirm_state State = group();
   confirm_waiter Write = waiter(5, confirm_kind::Replicated);
   addWaiter(State, Write);
--- a/tests/data/detector_test.cpp
+++ b/tests/data/detector_test.cpp
@@ -11,9 +11,9 @@
 constexpr base::instant Start{milliseconds(10'000)};
 const detector_parameters Parameters;
 
-void tell(group_view &View, std::string Name, endpoint_role Role,
-          base::term_number Term, base::log_position Received,
-          milliseconds At) {
+void reportState(group_view &View, std::string Name, endpoint_role Role,
+                 base::term_number Term, base::log_position Received,
+                 milliseconds At) {
   endpoint_state State;
   State.Name = std::move(Name);
   State.Role = Role;
@@ -31,9 +31,9 @@
   Endpoints[1].Name = "b";
   Endpoints[2].Name = "p";
   setMembers(View, Endpoints);
-  tell(View, "p", endpoint_role::Primary, 1, 5, milliseconds(0));
-  tell(View, "a", endpoint_role::Replica, 1, 5, milliseconds(0));
-  tell(View, "b", endpoint_role::Replica, 1, 5, milliseconds(0));
+  reportState(View, "p", endpoint_role::Primary, 1, 5, milliseconds(0));
+  reportState(View, "a", endpoint_role::Replica, 1, 5, milliseconds(0));
+  reportState(View, "b", endpoint_role::Replica, 1, 5, milliseconds(0));
   return View;
 }
 
@@ -71,30 +71,30 @@
   group_view View = healthyGroup();
   detector_state State;
   observeGroup(State, View, Start);
-  tell(View, "p", endpoint_role::Primary, 1, 6, milliseconds(100));
+  reportState(View, "p", endpoint_role::Primary, 1, 6, milliseconds(100));
   observeGroup(State, View, Start + milliseconds(100));
   cr_assert(causeAt(State, View, milliseconds(700)) == suspicion_cause::None);
   cr_assert(causeAt(State, View, milliseconds(900)) ==
             suspicion_cause::ReplicationStalled);
-  tell(View, "b", endpoint_role::Replica, 1, 6, milliseconds(700));
+  reportState(View, "b", endpoint_role::Replica, 1, 6, milliseconds(700));
   observeGroup(State, View, Start + milliseconds(700));
   cr_assert(causeAt(State, View, milliseconds(900)) == suspicion_cause::None);
 }
 
 // Writes stop for good: the instance that ordered a failover died after it
 // had sealed the group.
-Test(detector, a_term_without_a_primary_is_suspected_after_a_bound) {
+Test(detector, a_term_without_a_primary_is_suspected_after_a_timeout) {
   group_view View = healthyGroup();
   detector_state State;
   observeGroup(State, View, Start);
-  tell(View, "a", endpoint_role::Sealed, 2, 5, milliseconds(100));
+  reportState(View, "a", endpoint_role::Sealed, 2, 5, milliseconds(100));
   observeGroup(State, View, Start + milliseconds(100));
   cr_assert(causeAt(State, View, milliseconds(1099)) == suspicion_cause::None);
   cr_assert(causeAt(State, View, milliseconds(1100)) ==
             suspicion_cause::NoPrimary);
 }
 
-Test(detector, one_instances_broken_link_moves_nothing) {
+Test(detector, one_instances_broken_link_causes_no_failover) {
   struct row {
     std::vector<peer_report> Reports;
     bool Agreed;
--- a/tests/data/dispatcher_test.cpp
+++ b/tests/data/dispatcher_test.cpp
@@ -57,7 +57,7 @@
 
 // Requests are refused for lack of connections while turns are granted: open
 // transactions hold connections that the window still counts on.
-Test(dispatcher, pinned_connections_leave_the_window) {
+Test(dispatcher, pinned_connections_reduce_the_window) {
   asio::io_context Context;
   dispatcher Dispatcher(Context.get_executor(), "i1", Endpoint, 4, {});
   const double Free = Dispatcher.windowLimit();
--- a/tests/data/failover_test.cpp
+++ b/tests/data/failover_test.cpp
@@ -124,7 +124,7 @@
   cr_assert(Order.step() == failover_step::GivenUp);
 }
 
-Test(failover, an_order_of_another_instance_is_left_alone_for_a_bound) {
+Test(failover, an_order_of_another_instance_is_left_alone_until_a_timeout) {
   struct row {
     failover_record Record;
     milliseconds Waited;
@@ -149,7 +149,7 @@
   }
 }
 
-Test(failover, a_returning_primary_is_made_to_follow) {
+Test(failover, a_returning_primary_is_told_to_follow) {
   group_view View;
   std::vector<control::endpoint> Endpoints(2);
   Endpoints[0].Name = "a";
@@ -169,7 +169,7 @@
   cr_assert(Orders[0].Order == "mine" && Orders[0].Primary.Name == "a");
 }
 
-Test(failover, a_record_survives_the_table) {
+Test(failover, a_record_survives_serialization) {
   const failover_record Record{4, "o", "i", record_state::Done, "a"};
   cr_assert(parseRecord(toText(Record)).value() == Record);
   cr_assert(parseRecord("{").has_error());
--- a/tests/data/fair_queue_test.cpp
+++ b/tests/data/fair_queue_test.cpp
@@ -24,11 +24,11 @@
   return dequeue(Queue).value_or(queue_ticket());
 }
 
-/// Slot time that each customer got out of \p Turns turns, when a request of
+/// Slot time that each customer got out of \p Requests turns, when a request of
 /// "slow" takes ten times as long.
-std::map<std::string, microseconds> served(fair_queue &Queue, int Turns) {
+std::map<std::string, microseconds> served(fair_queue &Queue, int Requests) {
   std::map<std::string, microseconds> Time;
-  for (int Turn = 0; Turn < Turns; ++Turn) {
+  for (int Request = 0; Request < Requests; ++Request) {
     const queue_ticket Ticket = next(Queue);
     const microseconds Busy(Ticket.Customer == "slow" ? 5000 : 500);
     charge(Queue, Ticket.Customer, Busy);
@@ -50,12 +50,12 @@
 }
 
 /// How many requests are served before the calm customer's five are.
-int turnsUntilCalmIsServed(fair_queue Queue) {
+int requestsUntilCalmIsServed(fair_queue Queue) {
   int Left = 5;
-  int Turns = 0;
-  for (; Left > 0; ++Turns)
+  int Requests = 0;
+  for (; Left > 0; ++Requests)
     Left -= next(Queue).Customer == "calm" ? 1 : 0;
-  return Turns;
+  return Requests;
 }
 
 } // namespace
@@ -63,14 +63,14 @@
 // One customer sends several times its rate. Its requests fill the queue, and
 // those of the others, who did nothing wrong, wait behind them.
 Test(fair_queue, a_flood_does_not_delay_another_customer) {
-  cr_assert(turnsUntilCalmIsServed(flooded(queue_policy::Fair)) <= 15);
+  cr_assert(requestsUntilCalmIsServed(flooded(queue_policy::Fair)) <= 15);
   // The baseline shows that the test sees the fault.
-  cr_assert(turnsUntilCalmIsServed(flooded(queue_policy::Fifo)) == 1005);
+  cr_assert(requestsUntilCalmIsServed(flooded(queue_policy::Fifo)) == 1005);
 }
 
 // One customer's statements are ten times as slow. Counted by requests, it
 // would get ten times the slot time of the others.
-Test(fair_queue, turns_are_counted_by_slot_time) {
+Test(fair_queue, shares_are_measured_in_slot_time) {
   fair_queue Queue;
   // Both always have requests waiting; one that has none gets no turn.
   for (std::uint64_t Id = 0; Id < 20; ++Id)
@@ -81,7 +81,7 @@
   cr_assert(Ratio > 0.9 && Ratio < 1.1);
 }
 
-Test(fair_queue, a_request_whose_turn_comes_too_late_is_refused_at_once) {
+Test(fair_queue, a_request_that_would_start_too_late_is_refused_at_once) {
   fair_queue Queue;
   for (std::uint64_t Id = 0; Id < 100; ++Id)
     add(Queue, Id, "a");
@@ -91,7 +91,7 @@
   cr_assert(Answer.RetryAfter >= milliseconds(10));
 }
 
-Test(fair_queue, memory_is_bounded_for_each_customer_and_in_all) {
+Test(fair_queue, queue_length_is_bounded_per_customer_and_in_total) {
   fair_queue Queue;
   Queue.Settings.MaxPerCustomer = 3;
   Queue.Settings.MaxTotal = 5;
--- a/tests/data/group_view_test.cpp
+++ b/tests/data/group_view_test.cpp
@@ -26,7 +26,7 @@
   return View;
 }
 
-base::term_number termTold(const group_view &View) {
+base::term_number reportedTerm(const group_view &View) {
   return View.Members[0].State.value_or(endpoint_state()).Term;
 }
 
@@ -35,11 +35,11 @@
 // A database is restarted and comes back empty, in the first term. Its group
 // never gets its third copy back, because the proxies take what it says for a
 // late answer and nobody tells it whom to follow.
-Test(group_view, a_member_that_lost_its_state_is_seen_again) {
+Test(group_view, a_member_that_lost_its_state_is_observed_again) {
   group_view View = viewInTerm(5);
   observeFailure(View, "a", Start + milliseconds(100));
   observe(View, replicaIn(1), Start + milliseconds(200));
-  cr_assert(termTold(View) == 1);
+  cr_assert(reportedTerm(View) == 1);
   cr_assert(View.Members[0].Failures == 0);
   cr_assert(View.Term == 5);
 }
@@ -47,7 +47,7 @@
 Test(group_view, a_late_answer_of_a_lower_term_changes_nothing) {
   group_view View = viewInTerm(5);
   observe(View, replicaIn(4), Start - milliseconds(100));
-  cr_assert(termTold(View) == 5);
+  cr_assert(reportedTerm(View) == 5);
   observe(View, replicaIn(4), Start + milliseconds(1));
-  cr_assert(termTold(View) == 5);
+  cr_assert(reportedTerm(View) == 5);
 }
--- a/tests/data/request_record_test.cpp
+++ b/tests/data/request_record_test.cpp
@@ -35,11 +35,11 @@
   cr_assert(Now - Oldest > RecordRetention.count());
 }
 
-Test(request_record, parts_that_run_together_give_different_digests) {
+Test(request_record, parts_with_equal_concatenation_give_different_digests) {
   cr_assert(requestDigest({"ab", "c"}) != requestDigest({"a", "bc"}));
 }
 
-Test(request_record, a_repeat_is_judged_by_state_and_digest) {
+Test(request_record, a_retry_is_classified_by_state_and_digest) {
   const request_identity Identity{"dulce", "id", Now, "digest"};
   const request_record Done{request_state::Done, "digest", 1, ""};
   const request_record Other{request_state::Done, "other", 1, ""};
--- a/tests/data/retry_policy_test.cpp
+++ b/tests/data/retry_policy_test.cpp
@@ -14,24 +14,24 @@
 
 // A database comes back after an outage. Every waiting request and all its
 // repeats arrive at once and bring it down again.
-Test(retry_policy, repeats_are_a_bounded_share_of_the_requests) {
+Test(retry_policy, retries_are_a_bounded_fraction_of_the_requests) {
   retry_budget Budget;
-  int Repeats = 0;
+  int Retries = 0;
   for (int Request = 0; Request < 1000; ++Request) {
     noteRequest(Budget);
     while (spendRetry(Budget))
-      ++Repeats;
+      ++Retries;
   }
-  cr_assert(Repeats <= 220);
+  cr_assert(Retries <= 220);
 }
 
-Test(retry_policy, pauses_grow_are_capped_and_are_spread) {
+Test(retry_policy, backoff_grows_is_capped_and_has_jitter) {
   cr_assert(backoff(1, 0.0) < backoff(3, 0.0));
   cr_assert(backoff(30, 0.999) <= milliseconds(100));
   cr_assert(backoff(3, 0.0) != backoff(3, 0.9));
 }
 
-Test(retry_policy, a_circuit_opens_after_failures_in_a_row_only) {
+Test(retry_policy, a_circuit_opens_only_after_consecutive_failures) {
   circuit_breaker Circuit;
   for (int Failure = 0; Failure < 2; ++Failure)
     noteFailure(Circuit, Start, 0.5);
@@ -45,7 +45,7 @@
 
 // A write was sent and its answer lost. Only a repeat that carries the same
 // request id may follow; treated as "not run" it could run twice.
-Test(retry_policy, an_unknown_outcome_is_repeated_under_the_same_id_only) {
+Test(retry_policy, an_unknown_outcome_is_retried_only_under_the_same_id) {
   using base::errc;
   cr_assert(retryKindOf({errc::OutcomeUnknown}) == retry_kind::SameId);
   cr_assert(retryKindOf({errc::TruncatedAnswer}) == retry_kind::SameId);
--- a/tests/data/routing_test.cpp
+++ b/tests/data/routing_test.cpp
@@ -69,7 +69,7 @@
 // A write's answer was lost, so the caller has no token for it, or lost the
 // token. Nobody can tell what the session has written: only the primary will
 // do, unless the caller says that there is no session.
-Test(routing, a_missing_or_foreign_token_reads_the_primary) {
+Test(routing, a_missing_or_invalid_token_reads_the_primary) {
   read_request Read = sessionRead(90);
   Read.Position.reset();
   for (const session_kind Kind :
@@ -106,7 +106,7 @@
 // Routing saw a replica at position 90. Before the read arrived the replica
 // was rebuilt empty, and answered from position 3. The answer's own state, not
 // the one routing remembered, decides whether it is delivered.
-Test(routing, an_answer_is_judged_by_its_own_state) {
+Test(routing, an_answer_is_checked_by_its_own_state) {
   const group_view View = groupAt(Start);
   const endpoint_state State = stateOf("r1", endpoint_role::Replica, 90);
   const read_request Read = sessionRead(90);
--- a/tests/data/session_token_test.cpp
+++ b/tests/data/session_token_test.cpp
@@ -17,7 +17,7 @@
 
 } // namespace
 
-Test(session_token, a_token_comes_back_as_it_was_signed) {
+Test(session_token, a_token_round_trips) {
   const session_state Session{{{"orders", 3, 12}, {"stock", 1, 7}}};
   const std::string Token = encodeToken(FleetKey, "dulce", Session);
   const auto Read = decodeToken(FleetKey, "dulce", Token);
@@ -27,7 +27,7 @@
 
 // A caller of one customer gets hold of another customer's token, or changes
 // its own to look further ahead. Neither may count as a session.
-Test(session_token, a_foreign_or_changed_token_does_not_verify) {
+Test(session_token, a_changed_or_another_customers_token_does_not_verify) {
   const std::string Token = encodeToken(FleetKey, "dulce", sessionAt(1, 5));
   cr_assert(!decodeToken(FleetKey, "amar", Token).has_value());
   cr_assert(!decodeToken("another fleet", "dulce", Token).has_value());
--- a/tests/data/statement_core_test.cpp
+++ b/tests/data/statement_core_test.cpp
@@ -39,7 +39,7 @@
 // A key is withdrawn while its requests wait in a queue. The operator was told
 // that it is out of force; the waiting requests run all the same, because they
 // were checked when they arrived.
-Test(statement_core, a_withdrawal_reaches_requests_that_wait) {
+Test(statement_core, a_key_withdrawal_stops_queued_requests) {
   core_fixture Fixture;
   call Call = queuedCall();
   cr_assert(isKeyInForce(Fixture.Core, Call));
@@ -51,7 +51,7 @@
 
 // The same, but the store did not answer the withdrawal. The instance takes
 // the key out of force at once, under the version it has.
-Test(statement_core, a_withdrawal_of_unknown_outcome_reaches_them_too) {
+Test(statement_core, a_withdrawal_of_unknown_outcome_stops_them_too) {
   core_fixture Fixture;
   call Call = queuedCall();
   cr_assert(isKeyInForce(Fixture.Core, Call));
@@ -62,7 +62,7 @@
 
 // An id of a key is given again, to another customer. A request that waits
 // under the old key must not run for the new customer, or at all.
-Test(statement_core, a_key_given_anew_is_another_key) {
+Test(statement_core, a_key_id_assigned_again_is_another_key) {
   core_fixture Fixture;
   call Call = queuedCall();
   cr_assert(isKeyInForce(Fixture.Core, Call));
--- a/tests/matrix/caller_model.cpp
+++ b/tests/matrix/caller_model.cpp
@@ -9,7 +9,7 @@
 
 constexpr milliseconds RunTimeout{300};
 constexpr milliseconds ConfirmTimeout{1000};
-constexpr milliseconds CallEvery{45};
+constexpr milliseconds CallInterval{45};
 
 /// Waits for a confirmation; \p Done runs one message later, when the caller
 /// gets the answer: the instance may be paused in between.
@@ -64,11 +64,11 @@
   World.Net.call<run_reply>(Instance.Name, Primary, Serve, Done, RunTimeout);
 }
 
-void checkRead(world &World, const run_reply &Reply, base::instant Begun) {
+void checkRead(world &World, const run_reply &Reply, base::instant StartedAt) {
   const std::vector<log_entry> &Log = *Reply.Log;
   const bool Stale = std::ranges::any_of(
       World.History.Writes, [&](const history::acknowledged &Write) {
-        return Write.At < Begun &&
+        return Write.At < StartedAt &&
                (Log.size() < Write.Position ||
                 Log[Write.Position - 1].Write != Write.Write);
       });
@@ -77,7 +77,7 @@
 }
 
 void read(world &World, instance_model &Instance) {
-  const base::instant Begun = World.Net.Now;
+  const base::instant StartedAt = World.Net.Now;
   const node Primary = Instance.View.Primary.value_or("");
   const base::term_number Term = Instance.View.Term;
   World.OnStep(step::ReadSent, Instance.Name);
@@ -85,23 +85,23 @@
     return std::optional(serveRead(World.Endpoints.at(Primary), Term));
   };
   const auto Done = [&World, &Instance, Term,
-                     Begun](std::optional<run_reply> Reply) {
+                     StartedAt](std::optional<run_reply> Reply) {
     if (!Reply || !Reply->Ran)
       return;
     confirm(World, Instance,
             {0, Term, Reply->Position, data::confirm_kind::ReplicatedAndCurrent,
-             Begun},
-            [&World, Reply, Begun](bool Confirmed) {
+             StartedAt},
+            [&World, Reply, StartedAt](bool Confirmed) {
               if (Confirmed)
-                checkRead(World, *Reply, Begun);
+                checkRead(World, *Reply, StartedAt);
             });
   };
   World.Net.call<run_reply>(Instance.Name, Primary, Serve, Done, RunTimeout);
 }
 
-void callAgain(world &World, instance_model &Instance) {
-  const milliseconds Wait = CallEvery + milliseconds(World.Net.pick(10));
-  World.Net.after(Wait, Instance.Name, [&] { callAgain(World, Instance); });
+void sendRequests(world &World, instance_model &Instance) {
+  const milliseconds Wait = CallInterval + milliseconds(World.Net.pick(10));
+  World.Net.after(Wait, Instance.Name, [&] { sendRequests(World, Instance); });
   if (!World.LoadOn || !Instance.View.Primary)
     return;
   read(World, Instance);
@@ -120,7 +120,7 @@
 } // namespace
 
 void startCallers(world &World, instance_model &Instance) {
-  callAgain(World, Instance);
+  sendRequests(World, Instance);
 }
 
 } // namespace redwinggw::matrix
--- a/tests/matrix/endpoint_model.cpp
+++ b/tests/matrix/endpoint_model.cpp
@@ -7,25 +7,25 @@
 
 using data::endpoint_role;
 
-bool isLower(const endpoint_model &Endpoint, base::term_number Term,
-             const std::string &Order) {
+bool isOutdated(const endpoint_model &Endpoint, base::term_number Term,
+                const std::string &Order) {
   const auto &State = Endpoint.State;
   return Term < State.Term || (Term == State.Term && Order != State.Order);
 }
 
-void enter(endpoint_model &Endpoint, base::term_number Term,
-           const std::string &Order, endpoint_role Role) {
+void setRole(endpoint_model &Endpoint, base::term_number Term,
+             const std::string &Order, endpoint_role Role) {
   Endpoint.State.Term = Term;
   Endpoint.State.Order = Order;
   Endpoint.State.Role = Role;
 }
 
-bool runsOn(const endpoint_model &Endpoint, base::term_number Expected) {
+bool isPrimaryIn(const endpoint_model &Endpoint, base::term_number Expected) {
   return Endpoint.State.Role == endpoint_role::Primary &&
          Endpoint.State.Term == Expected;
 }
 
-void takeLog(endpoint_model &Replica, const endpoint_model &Primary) {
+void copyLog(endpoint_model &Replica, const endpoint_model &Primary) {
   auto &State = Replica.State;
   if (State.Role != endpoint_role::Replica || State.Term != Primary.State.Term)
     return;
@@ -42,7 +42,7 @@
 run_reply serveWrite(endpoint_model &Endpoint, base::term_number Expected,
                      write_id Write) {
   run_reply Reply;
-  if (runsOn(Endpoint, Expected)) {
+  if (isPrimaryIn(Endpoint, Expected)) {
     Reply.Ran = true;
     // The unique key of the write's id: a repeat finds the first run.
     const bool Known =
@@ -61,7 +61,7 @@
 
 run_reply serveRead(endpoint_model &Endpoint, base::term_number Expected) {
   run_reply Reply;
-  Reply.Ran = runsOn(Endpoint, Expected);
+  Reply.Ran = isPrimaryIn(Endpoint, Expected);
   Reply.Position = Endpoint.Log.size();
   Reply.Log = std::make_shared<std::vector<log_entry>>(Endpoint.Log);
   Reply.State = Endpoint.State;
@@ -70,20 +70,20 @@
 
 bool serveSeal(endpoint_model &Endpoint, base::term_number Term,
                const std::string &Order) {
-  if (isLower(Endpoint, Term, Order))
+  if (isOutdated(Endpoint, Term, Order))
     return false;
   if (Term > Endpoint.State.Term)
-    enter(Endpoint, Term, Order, endpoint_role::Sealed);
+    setRole(Endpoint, Term, Order, endpoint_role::Sealed);
   return true;
 }
 
 bool servePromote(world &World, endpoint_model &Endpoint,
                   const data::promote_member &Request) {
-  if (isLower(Endpoint, Request.Term, Request.Order))
+  if (isOutdated(Endpoint, Request.Term, Request.Order))
     return false;
-  if (runsOn(Endpoint, Request.Term))
+  if (isPrimaryIn(Endpoint, Request.Term))
     return true;
-  enter(Endpoint, Request.Term, Request.Order, endpoint_role::Primary);
+  setRole(Endpoint, Request.Term, Request.Order, endpoint_role::Primary);
   Endpoint.State.History.push_back({Request.Term, Endpoint.Log.size()});
   Endpoint.Members.clear();
   for (const data::endpoint_address &Other : Request.Others)
@@ -97,10 +97,10 @@
 
 bool serveFollow(endpoint_model &Endpoint, base::term_number Term,
                  const std::string &Order) {
-  if (isLower(Endpoint, Term, Order))
+  if (isOutdated(Endpoint, Term, Order))
     return false;
-  if (!runsOn(Endpoint, Term))
-    enter(Endpoint, Term, Order, endpoint_role::Replica);
+  if (!isPrimaryIn(Endpoint, Term))
+    setRole(Endpoint, Term, Order, endpoint_role::Replica);
   return true;
 }
 
@@ -111,13 +111,13 @@
       std::ranges::find(Endpoint.Members, Member) != Endpoint.Members.end();
   // A message without news would change nothing; leaving it out saves time.
   const endpoint_model &Replica = World.Endpoints.at(Member);
-  const bool HasNews = Replica.Log.size() != Endpoint.Log.size() ||
-                       Replica.State.History != Endpoint.State.History;
-  if (Ships && HasNews)
+  const bool HasChanges = Replica.Log.size() != Endpoint.Log.size() ||
+                          Replica.State.History != Endpoint.State.History;
+  if (Ships && HasChanges)
     World.Net.send(Name, Member, [&World, Member, Sent = Endpoint] {
-      takeLog(World.Endpoints.at(Member), Sent);
+      copyLog(World.Endpoints.at(Member), Sent);
     });
-  World.Net.after(World.ShipEvery.at(Member), Name,
+  World.Net.after(World.ShipInterval.at(Member), Name,
                   [&World, Name, Member] { shipLog(World, Name, Member); });
 }
 
--- a/tests/matrix/failover_scenario.cpp
+++ b/tests/matrix/failover_scenario.cpp
@@ -31,7 +31,7 @@
       Net.Cuts.emplace(Other, To);
 }
 
-std::vector<node> everybody() {
+std::vector<node> allNodes() {
   std::vector<node> All = Endpoints;
   std::ranges::copy(Instances, std::back_inserter(All));
   All.push_back(TableNode);
@@ -46,14 +46,14 @@
   World.Net.Cuts.clear();
   World.Net.Silent.clear();
   World.Net.Delay = base::microseconds(1500);
-  World.Net.Doubles = false;
+  World.Net.Duplicates = false;
   World.Table.Down = false;
   World.Table.Slow = milliseconds(0);
 }
 
 /// Leaves \p Endpoint and \p Instance alone with each other.
-void splitWith(network &Net, const node &Endpoint, const node &Instance) {
-  for (const node &Member : everybody()) {
+void isolatePair(network &Net, const node &Endpoint, const node &Instance) {
+  for (const node &Member : allNodes()) {
     if (Member == Endpoint || Member == Instance)
       continue;
     for (const node &Alone : {Endpoint, Instance}) {
@@ -75,26 +75,26 @@
     pause(Net, Primary);
     break;
   case 2:
-    cut(Net, Primary, everybody());
-    cutFrom(Net, everybody(), Primary);
+    cut(Net, Primary, allNodes());
+    cutFrom(Net, allNodes(), Primary);
     break;
   case 3:
     cut(Net, Primary, Endpoints);
     cutFrom(Net, Endpoints, Primary);
     break;
   case 4:
-    cut(Net, Primary, everybody());
+    cut(Net, Primary, allNodes());
     break;
   case 5:
     cutFrom(Net, Instances, Primary);
     break;
   default:
-    splitWith(Net, Primary, Instances.front());
+    isolatePair(Net, Primary, Instances.front());
     break;
   }
 }
 
-void strike(world &World, fault Fault, const node &Instance) {
+void injectFault(world &World, fault Fault, const node &Instance) {
   network &Net = World.Net;
   const node &Endpoint = Endpoints[Net.pick(Endpoints.size())];
   switch (Fault) {
@@ -105,8 +105,8 @@
     pause(Net, Instance);
     break;
   case fault::CutInstance:
-    cut(Net, Instance, everybody());
-    cutFrom(Net, everybody(), Instance);
+    cut(Net, Instance, allNodes());
+    cutFrom(Net, allNodes(), Instance);
     break;
   case fault::KillEndpoint:
     Net.Killed.insert(Endpoint);
@@ -116,13 +116,13 @@
     break;
   case fault::CutOneWay:
     if (Net.pick(2) == 0)
-      cut(Net, Endpoint, everybody());
+      cut(Net, Endpoint, allNodes());
     else
-      cutFrom(Net, everybody(), Endpoint);
+      cutFrom(Net, allNodes(), Endpoint);
     break;
   case fault::CutBothWays:
-    cut(Net, Endpoint, everybody());
-    cutFrom(Net, everybody(), Endpoint);
+    cut(Net, Endpoint, allNodes());
+    cutFrom(Net, allNodes(), Endpoint);
     break;
   case fault::SilentConnections:
     for (const node &Member : Endpoints)
@@ -140,17 +140,17 @@
   case fault::AnswerLost:
     World.Table.LoseAnswers = 3;
     break;
-  case fault::Doubled:
-    Net.Doubles = true;
+  case fault::Duplicated:
+    Net.Duplicates = true;
     break;
-  case fault::Crossed:
+  case fault::Reordered:
     Net.Delay = milliseconds(40);
     break;
   case fault::TwoAtOnce: {
     const auto First = static_cast<fault>(Net.pick(FaultNames.size() - 2));
     const auto Second = static_cast<fault>(Net.pick(FaultNames.size() - 2));
-    strike(World, First, Instance);
-    strike(World, Second, Instances[Net.pick(Instances.size())]);
+    injectFault(World, First, Instance);
+    injectFault(World, Second, Instances[Net.pick(Instances.size())]);
     break;
   }
   case fault::ClockStep:
@@ -197,10 +197,10 @@
   const base::instant Begin = World.Net.Now;
   World.OnStep = [&](step Step, const node &Instance) {
     const bool Early = World.Net.Now < Begin + TriggerAt - milliseconds(5);
-    if (Result.Struck || Step != Run.Step || Early)
+    if (Result.Injected || Step != Run.Step || Early)
       return;
-    Result.Struck = true;
-    strike(World, Run.Fault, Instance);
+    Result.Injected = true;
+    injectFault(World, Run.Fault, Instance);
     World.Net.after(HealAfter, "healer", [&World] { heal(World); });
   };
   startWorld(World);
@@ -216,7 +216,7 @@
   World.Net.runUntil(End);
   World.LoadOn = false;
   World.Net.runUntil(End + QuietFor);
-  judge(World);
+  checkHistory(World);
   if (shouldServe(World) && !servesAtTheEnd(World, End))
     World.History.Broken.insert("writes go on");
   Result.Broken = World.History.Broken;
--- a/tests/matrix/instance_model.cpp
+++ b/tests/matrix/instance_model.cpp
@@ -17,7 +17,7 @@
 
 const data::detector_parameters DetectorParameters;
 
-void reach(world &World, const instance_model &Instance, step Step) {
+void reportStep(world &World, const instance_model &Instance, step Step) {
   if (World.OnStep)
     World.OnStep(Step, Instance.Name);
 }
@@ -151,7 +151,7 @@
   if (std::exchange(Instance.LastStep, Now) == Now)
     return;
   if (const auto Found = Steps.find(Now); Found != Steps.end())
-    reach(World, Instance, Found->second);
+    reportStep(World, Instance, Found->second);
 }
 
 void process(world &World, instance_model &Instance,
@@ -223,7 +223,7 @@
   process(World, Instance, data::time_passed{World.Net.Now});
   if (!isSuspected(World, Instance))
     return;
-  reach(World, Instance, step::Suspected);
+  reportStep(World, Instance, step::Suspected);
   if (!Instance.Order && !Instance.Preparing &&
       isQuorumReached(World, Instance))
     prepareOrder(World, Instance);
--- a/tests/matrix/matrix.cpp
+++ b/tests/matrix/matrix.cpp
@@ -48,7 +48,7 @@
   std::uint64_t Failed = 0;
   for (std::uint64_t Seed = 1; Seed <= Seeds; ++Seed) {
     const cell_run Run = Scenario.Run(Fault, Step, Seed);
-    if (!Run.Struck)
+    if (!Run.Injected)
       continue;
     ++(Run.Broken.empty() ? Passed : Failed);
     for (const std::string &Promise : Run.Broken) {
--- a/tests/matrix/models.hpp
+++ b/tests/matrix/models.hpp
@@ -116,7 +116,7 @@
   std::function<void(step, const node &)> OnStep;
   bool LoadOn = true;
   /// How often a primary sends its log to each member.
-  std::map<node, base::milliseconds> ShipEvery;
+  std::map<node, base::milliseconds> ShipInterval;
   write_id LastWrite = 0;
 };
 
@@ -162,6 +162,6 @@
                 base::instant AskedAt);
 
 /// Judges the final state and what callers saw.
-void judge(world &World);
+void checkHistory(world &World);
 
 } // namespace redwinggw::matrix
--- a/tests/matrix/network.cpp
+++ b/tests/matrix/network.cpp
@@ -16,7 +16,7 @@
 
 void network::send(const node &From, const node &To,
                    std::function<void()> Deliver) {
-  const int Copies = Doubles && pick(4) == 0 ? 2 : 1;
+  const int Copies = Duplicates && pick(4) == 0 ? 2 : 1;
   for (int Copy = 0; Copy < Copies; ++Copy) {
     const base::microseconds Wait(300 + pick(Delay.count()));
     after(Wait, To, [this, From, To, Deliver] {
--- a/tests/matrix/network.hpp
+++ b/tests/matrix/network.hpp
@@ -31,7 +31,7 @@
   std::map<node, base::instant> PausedUntil;
   /// Largest extra delay of a message.
   base::microseconds Delay{1500};
-  bool Doubles = false;
+  bool Duplicates = false;
 
   /// Uniform in [0, Below).
   std::uint64_t pick(std::uint64_t Below) { return Random() % Below; }
--- a/tests/matrix/registry.hpp
+++ b/tests/matrix/registry.hpp
@@ -26,8 +26,8 @@
   StoreOutage,
   StoreSlow,
   AnswerLost,
-  Doubled,
-  Crossed,
+  Duplicated,
+  Reordered,
   ClockStep,
   TwoAtOnce,
 };
@@ -45,8 +45,8 @@
     {fault::StoreOutage, "store outage"},
     {fault::StoreSlow, "store slow"},
     {fault::AnswerLost, "answer lost after effect"},
-    {fault::Doubled, "doubled messages"},
-    {fault::Crossed, "crossed messages"},
+    {fault::Duplicated, "doubled messages"},
+    {fault::Reordered, "crossed messages"},
     {fault::ClockStep, "clock step"},
     {fault::TwoAtOnce, "two at once"},
 });
@@ -54,7 +54,7 @@
 /// What one run of one cell showed.
 struct cell_run {
   /// The step was reached, so that the fault struck.
-  bool Struck = false;
+  bool Injected = false;
   /// Names of the promises that broke.
   std::set<std::string> Broken;
   /// Digest of what callers saw; equal for equal runs.
--- a/tests/matrix/world.cpp
+++ b/tests/matrix/world.cpp
@@ -31,7 +31,7 @@
 }
 
 /// The log that the group goes on with: the primary's of the highest term.
-const endpoint_model *survivor(const world &World) {
+const endpoint_model *livePrimary(const world &World) {
   const endpoint_model *Best = nullptr;
   for (const auto &[Name, Endpoint] : World.Endpoints) {
     const bool IsCurrentPrimary =
@@ -44,7 +44,7 @@
   return Best;
 }
 
-void judgeLog(world &World, const std::vector<log_entry> &Log) {
+void checkLog(world &World, const std::vector<log_entry> &Log) {
   std::set<std::string> &Broken = World.History.Broken;
   std::map<base::log_position, write_id> ByPosition;
   for (const history::acknowledged &Write : World.History.Writes) {
@@ -79,7 +79,8 @@
 
 void startWorld(world &World) {
   for (const auto &Entry : World.Endpoints)
-    World.ShipEvery[Entry.first] = base::milliseconds(2 + World.Net.pick(60));
+    World.ShipInterval[Entry.first] =
+        base::milliseconds(2 + World.Net.pick(60));
   for (const auto &From : World.Endpoints)
     for (const auto &To : World.Endpoints)
       shipLog(World, From.first, To.first);
@@ -90,9 +91,9 @@
   }
 }
 
-void judge(world &World) {
-  if (const endpoint_model *Survivor = survivor(World)) {
-    judgeLog(World, Survivor->Log);
+void checkHistory(world &World) {
+  if (const endpoint_model *Primary = livePrimary(World)) {
+    checkLog(World, Primary->Log);
     return;
   }
   // Without a primary the group must at least be able to go on with all that
@@ -102,7 +103,7 @@
         return std::pair(data::lastEntryTerm(Entry.second.State),
                          Entry.second.Log.size());
       });
-  judgeLog(World, Longest->second.Log);
+  checkLog(World, Longest->second.Log);
 }
 
 } // namespace redwinggw::matrix
