--- a/packages/data/include/redwinggw/data/caller_message.hpp
+++ b/packages/data/include/redwinggw/data/caller_message.hpp
@@ -12,12 +12,13 @@
 #include <string>
 #include <string_view>
 
-/// Requests and answers of callers; docs/CALLERS.md states their form.
+/// Parses callers' requests and builds the answers; docs/CALLERS.md describes
+/// the format.
 namespace redwinggw::data {
 
 enum class access_kind { Read, Write };
 
-/// A request of a caller, checked for form only.
+/// A caller's request; only its format has been checked.
 struct caller_request {
   std::string Service;
   access_kind Access = access_kind::Read;
@@ -32,21 +33,21 @@
   base::milliseconds Deadline{0};
 };
 
-/// What a path needs to be given.
+/// The fields that a path requires.
 struct caller_fields {
   bool Service = false;
   bool Sql = false;
   bool Transaction = false;
-  /// Writes must name their request.
+  /// A request id is required even for reads; writes always need one.
   bool RequestId = false;
 };
 
-/// Reads the body of a request. Fails with errc::BadRequest that names the
-/// field and what is allowed.
+/// Parses the body of a request. Fails with errc::BadRequest; the detail names
+/// the field and the allowed values.
 base::result<caller_request> parseCallerRequest(std::string_view Body,
                                                 const caller_fields &Needed);
 
-/// An answer to a caller.
+/// Answer to a caller.
 struct caller_answer {
   /// Result of the statement; null for requests without one.
   boost::json::value Result;
--- a/packages/data/include/redwinggw/data/caller_server.hpp
+++ b/packages/data/include/redwinggw/data/caller_server.hpp
@@ -4,7 +4,8 @@
 #include "redwinggw/data/transaction_table.hpp"
 #include "redwinggw/http/server.hpp"
 
-/// The callers' side: authenticates, admits and hands requests to their paths.
+/// HTTP server for callers: authenticates requests, applies the customer's rate
+/// limit and passes them to the handler of their path.
 namespace redwinggw::data {
 
 /// Used from one thread. \p Core and \p Table outlive it.
@@ -17,7 +18,8 @@
   http::server Server;
 };
 
-/// Answers one request of a caller. Never throws; each failure is an answer.
+/// Serves one request of a caller. Never throws; each failure becomes an
+/// answer.
 base::task<http::response> serveCaller(statement_core &Core,
                                        transaction_table &Table,
                                        http::request Request);
--- a/packages/data/include/redwinggw/data/confirm.hpp
+++ b/packages/data/include/redwinggw/data/confirm.hpp
@@ -9,29 +9,30 @@
 #include <optional>
 #include <vector>
 
-/// Confirmation that a majority of a group holds a position in its term, and
-/// that its primary was not replaced. Decisions without I/O; many requests
-/// share one question to each replica. docs/FAILOVER.md gives the reasons.
+/// Confirms that a majority of a group holds a position in its term, and that
+/// its primary was not replaced. Decisions without I/O; concurrent requests
+/// share one status query to each replica. docs/FAILOVER.md gives the reasons.
 namespace redwinggw::data {
 
-/// What a request needs to know before it is answered.
+/// What must be confirmed before a request is answered.
 enum class confirm_kind {
-  /// A majority holds the position: for writes.
+  /// A majority holds the position; used for writes.
   Replicated,
-  /// The same, and the term was in force after the request arrived: for reads
-  /// on the primary.
+  /// The same, and the term was still in force after the request arrived; used
+  /// for reads on the primary.
   ReplicatedAndCurrent,
 };
 
-/// The two kinds of questions to a replica; at most one of each is open.
+/// The two kinds of status queries to a replica; at most one of each kind is in
+/// flight.
 enum class confirm_query_kind {
-  /// Waits at the replica until it has received a position.
+  /// Waits at the replica until it has received the position.
   Wait,
-  /// Is answered at once; tells that the term is still in force.
+  /// Answered at once; shows that the term is still in force.
   Current,
 };
 
-/// Guards that tests switch off to prove that they are needed.
+/// Safety checks that tests switch off to show that each is needed.
 struct confirm_parameters {
   bool CheckMajority = true;
   bool CheckTerm = true;
@@ -46,41 +47,42 @@
   base::instant Arrived;
 };
 
-/// What one replica confirmed.
+/// What one replica has confirmed.
 struct confirm_member {
   base::endpoint_name Name;
-  /// Term of what follows.
+  /// Term in which Position and CurrentAt were confirmed.
   base::term_number Term = 0;
   base::log_position Position = 0;
-  /// Latest time before a question that was answered in Term.
+  /// Start time of the latest query that was answered in Term.
   base::instant CurrentAt;
   bool WaitQueryOpen = false;
   bool CurrentQueryOpen = false;
-  /// Its last answer confirmed nothing or did not come.
+  /// The last answer confirmed nothing, or there was none; the next query is
+  /// sent after a delay.
   bool DelayNextQuery = false;
 };
 
-/// One group. Not thread safe.
+/// Confirmations of one group. Not thread safe.
 struct confirm_state {
   confirm_parameters Parameters;
-  /// Members of the group, the primary included.
+  /// Members of the group, including the primary.
   std::vector<confirm_member> Members;
-  /// Highest term that a member told.
+  /// Highest term that a member reported.
   base::term_number Term = 0;
-  /// Primary of Term; it counts through its own answer and is not asked.
+  /// Primary of Term. It is not queried: its own answer to the request counts.
   base::endpoint_name Primary;
   std::vector<confirm_waiter> Waiters;
   std::uint64_t LastId = 0;
 };
 
-/// A question to send to \p Member; its answer goes to onConfirmAnswer, its
-/// failure to onConfirmFailure.
+/// A status query to send to \p Member. Its answer is passed to
+/// onConfirmAnswer, its failure to onConfirmFailure.
 struct confirm_query {
   base::endpoint_name Member;
   confirm_query_kind QueryKind = confirm_query_kind::Current;
   base::term_number Term = 0;
   base::log_position WaitReceived = 0;
-  /// Send it after a pause: the member would only repeat itself at once.
+  /// Send after a delay, since the member would give the same answer at once.
   bool Delayed = false;
 };
 
@@ -94,34 +96,35 @@
   std::vector<confirm_query> Queries;
 };
 
-/// Number of members that must agree, the primary included.
+/// Number of members that form a majority, including the primary.
 constexpr std::size_t majorityOf(std::size_t Members) {
   return Members / 2 + 1;
 }
 
-/// Whether \p State confirms log positions of \p Term: a replica that follows
-/// the term and has taken over the term's history.
+/// Whether \p State confirms log positions of \p Term: it is the state of a
+/// replica that follows the term and has taken over the term's history.
 bool confirmsTerm(const endpoint_state &State, base::term_number Term);
 
-/// Makes the members match \p Names, keeping what is known of those that stay.
+/// Sets the members to \p Names; the state of members that stay is kept.
 void setConfirmMembers(confirm_state &State,
                        const std::vector<base::endpoint_name> &Names);
 
-/// Adds a waiter and writes its id to \p Waiter. Precondition: the primary
-/// answered in Waiter.Term, at a position of at least Waiter.Position.
+/// Adds a waiter and sets its id in \p Waiter. Precondition: the primary
+/// answered in Waiter.Term, at Waiter.Position or later.
 confirm_actions addWaiter(confirm_state &State, confirm_waiter &Waiter);
 
-/// Forgets a waiter, whose deadline passed.
+/// Removes a waiter whose deadline has passed.
 void dropWaiter(confirm_state &State, std::uint64_t Id);
 
-/// Takes in an answer to a question that was sent at \p AskedAt. \p QueryKind
-/// is empty for states that came another way.
+/// Processes a state that answered a request sent at \p AskedAt. \p QueryKind
+/// is empty when the state came with an answer to another kind of request.
 confirm_actions onConfirmAnswer(confirm_state &State,
                                 const endpoint_state &Answer,
                                 std::optional<confirm_query_kind> QueryKind,
                                 base::instant AskedAt);
 
-/// Notes that a question got no answer; questions still needed come back.
+/// Processes a query without an answer; it is returned again if it is still
+/// needed.
 confirm_actions onConfirmFailure(confirm_state &State,
                                  const base::endpoint_name &Member,
                                  confirm_query_kind QueryKind);
--- a/packages/data/include/redwinggw/data/connection_pool.hpp
+++ b/packages/data/include/redwinggw/data/connection_pool.hpp
@@ -12,10 +12,10 @@
 #include <string>
 #include <vector>
 
-/// Database connections of one instance to one endpoint.
+/// Pool of one instance's database connections to one endpoint.
 namespace redwinggw::data {
 
-/// A database connection. It belongs to one request or transaction at a time.
+/// A database connection. Used by one request or transaction at a time.
 struct database_connection {
   explicit database_connection(boost::asio::any_io_executor Executor)
       : Client(std::move(Executor)) {}
@@ -27,33 +27,33 @@
 
 using connection_handle = std::unique_ptr<database_connection>;
 
-/// Used from one thread. Outlives the coroutines that it starts through the
-/// shared state.
+/// Used from one thread. The coroutines that it starts may outlive it; they use
+/// the shared state.
 class connection_pool {
 public:
-  /// \p Limit is this instance's part of the endpoint's connections.
+  /// \p Limit is this instance's share of the endpoint's connections.
   connection_pool(boost::asio::any_io_executor Executor, std::string Instance,
                   control::endpoint Endpoint, std::size_t Limit);
   connection_pool(const connection_pool &) = delete;
   connection_pool &operator=(const connection_pool &) = delete;
   ~connection_pool();
 
-  /// An idle connection, or a new one while the limit allows; waits for one
-  /// otherwise. Fails with errc::ConnectionLimit or errc::EndpointUnreachable;
-  /// nothing has run.
+  /// Returns an idle connection, or opens one while the limit allows; otherwise
+  /// waits for one. Fails with errc::ConnectionLimit or
+  /// errc::EndpointUnreachable; nothing has run then.
   base::task<base::result<connection_handle>> acquire(base::instant Deadline);
 
-  /// Takes a connection back. Precondition: the endpoint confirmed that no
-  /// transaction is open on it. Otherwise destroy the handle through discard.
+  /// Returns a connection to the pool. Precondition: the endpoint confirmed
+  /// that no transaction is open on it; otherwise call discard.
   void release(connection_handle Connection);
 
-  /// Closes a connection whose state is not known.
+  /// Closes a connection whose state is unknown.
   void discard(connection_handle Connection);
 
-  /// Closes the idle connections that have not answered since \p Since. When a
-  /// request timed out, something between the two ends may have lost track of
-  /// all older connections, while new ones work; each would cost one more
-  /// request its deadline.
+  /// Closes the idle connections without an answer since \p Since. After a
+  /// request timed out, something on the network path may have lost its state
+  /// for all older connections while new ones work; each old connection would
+  /// make one more request time out.
   void closeUnansweredSince(base::instant Since);
 
   void closeIdle();
--- a/packages/data/include/redwinggw/data/detector.hpp
+++ b/packages/data/include/redwinggw/data/detector.hpp
@@ -8,39 +8,40 @@
 #include <string_view>
 #include <vector>
 
-/// Finds out whether a group's primary has failed, from probes, real traffic
-/// and what the other instances see. Decisions without I/O.
+/// Failure detector for a group's primary. Uses probes, regular traffic and the
+/// reports of the other instances. Decisions without I/O.
 namespace redwinggw::data {
 
 struct detector_parameters {
-  /// The primary is suspected after failures for so long without a success.
+  /// The primary is suspected after this long with failures and no success.
   base::milliseconds UnresponsiveTimeout{500};
-  /// Failed questions that this takes at least; the second one goes over a
-  /// fresh connection, so one silent connection moves nothing.
+  /// Minimum number of failed status requests. The second one uses a new
+  /// connection, so that one dead connection alone causes no suspicion.
   unsigned MinFailures = 2;
-  /// No primary in the highest term for so long: whoever made that term is
-  /// taken to have died midway.
+  /// The highest term has had no primary for this long: the instance that began
+  /// the term is presumed to have died during its failover.
   base::milliseconds NoPrimaryTimeout{1000};
-  /// The primary is ahead of its replicas and none of them advanced for so
-  /// long: it is cut off from them.
+  /// The primary has been ahead of its replicas and the position received by a
+  /// majority has not advanced for this long: the primary is cut off from its
+  /// replicas.
   base::milliseconds StallTimeout{800};
-  /// A report of another instance counts for so long.
+  /// Reports of other instances that are older than this are ignored.
   base::milliseconds MaxReportAge{1000};
 };
 
 /// Why this instance suspects a primary.
 enum class suspicion_cause {
   None,
-  /// Probes and traffic fail.
+  /// Probes and traffic to the primary fail.
   Unresponsive,
-  /// The group is in a term without a primary.
+  /// The group's highest term has no primary.
   NoPrimary,
-  /// Its replicas receive nothing from it.
+  /// The replicas receive nothing from the primary.
   ReplicationStalled,
 };
 
-/// What one instance tells the others about a group that it suspects. Groups
-/// that are not listed in its report are not suspected by it.
+/// A group that an instance suspects, as it reports it to the others. An
+/// instance does not suspect the groups that its report leaves out.
 struct suspicion {
   base::group_name Group;
   base::term_number Term = 0;
@@ -48,33 +49,33 @@
   friend bool operator==(const suspicion &, const suspicion &) = default;
 };
 
-/// The last report of another instance.
+/// The latest report of another instance.
 struct peer_report {
   base::instance_name Instance;
-  /// Time since it was received.
+  /// Time since the report was received.
   base::milliseconds Age{0};
   std::vector<suspicion> Suspicions;
 };
 
-/// What the detector remembers of one group besides its view.
+/// The detector's state for one group, in addition to the group's view.
 struct detector_state {
   base::term_number Term = 0;
-  /// Since when the highest term has had no primary.
+  /// Time since which the highest term has had no primary.
   std::optional<base::instant> NoPrimarySince;
-  /// Last success of traffic to the primary.
+  /// Time of the last successful request to the primary.
   base::instant LastSuccess;
-  /// Majority of received positions among the replicas, and when it last
-  /// advanced or the primary was last not ahead of it.
+  /// Highest position received by enough replicas for a majority, and the time
+  /// when it last advanced or the primary was last not ahead of it.
   base::log_position Received = 0;
   base::instant ProgressAt;
 };
 
-/// Brings \p State up to date with the view. Call after each change of the
-/// view and before suspicionOf.
+/// Updates \p State from the view. Call after each change of the view and
+/// before suspicionOf.
 void observeGroup(detector_state &State, const group_view &View,
                   base::instant Now);
 
-/// Notes that traffic to the primary succeeded. Failures of traffic go to
+/// Notes a successful request to the primary. Failed requests are passed to
 /// observeFailure of the view.
 void noteSuccess(detector_state &State, base::instant At);
 
@@ -83,9 +84,9 @@
                             const detector_parameters &Parameters,
                             base::instant Now);
 
-/// Whether enough instances share the suspicion of \p Own: a majority of this
-/// one and those that reported lately, and at least two of more than two. So
-/// one instance's broken link moves nothing.
+/// Whether enough instances share the suspicion \p Own: a majority of this
+/// instance and those with recent reports, and at least two instances if there
+/// are more than two. One instance's broken link thus causes no failover.
 bool isSuspectedByQuorum(const suspicion &Own,
                          const std::vector<peer_report> &Reports,
                          const detector_parameters &Parameters);
--- a/packages/data/include/redwinggw/data/dispatcher.hpp
+++ b/packages/data/include/redwinggw/data/dispatcher.hpp
@@ -14,8 +14,9 @@
 #include <string_view>
 #include <unordered_map>
 
-/// All of one instance's work at one endpoint: the queue of waiting requests,
-/// the window of running ones, the connections and the circuit.
+/// Everything that one instance runs at one endpoint: the queue of waiting
+/// requests, the window of running requests, the connection pool and the
+/// circuit breaker.
 namespace redwinggw::data {
 
 /// Used from one thread.
@@ -27,25 +28,28 @@
   dispatcher(const dispatcher &) = delete;
   dispatcher &operator=(const dispatcher &) = delete;
 
-  /// Waits for the turn of a request of \p Customer. Fails with
-  /// errc::Overloaded, at once when the turn would come too late.
+  /// Waits until a request of \p Customer may run in the window. Fails with
+  /// errc::Overloaded at once when the queue is full or the expected wait
+  /// exceeds the deadline, and with errc::DeadlinePassed when the deadline
+  /// passes in the queue.
   base::task<base::result<void>> acquire(base::customer_name Customer,
                                          base::instant Deadline);
 
-  /// Counts a request as running at once, without a turn. For statements of a
-  /// transaction that is open already: it may hold locks for which the running
-  /// requests wait, so behind them it would never get its turn.
+  /// Counts a request as running at once, without queueing. For statements of
+  /// an open transaction: it may hold locks that the running requests wait for,
+  /// so a queued statement would never start.
   void acquireImmediately(base::customer_name Customer);
 
-  /// A transaction began (+1) or ceased (-1) to keep a connection. The window
-  /// counts only on the others.
+  /// Counts a transaction that keeps a connection (+1) or no longer does (-1).
+  /// The window only uses the other connections.
   void adjustPinned(int Change);
 
   /// Whether one more transaction may keep a connection.
   bool mayPin() const;
 
-  /// Ends what acquire or acquireImmediately began. \p Busy is the measured
-  /// slot time; without one (the request failed) the account is left as it is.
+  /// Ends a run started by acquire or acquireImmediately. \p Busy is the
+  /// measured slot time; without it (the request failed) nothing is charged to
+  /// the customer.
   void release(std::string_view Customer, base::microseconds RoundTrip,
                std::optional<base::microseconds> Busy);
 
--- a/packages/data/include/redwinggw/data/endpoint.hpp
+++ b/packages/data/include/redwinggw/data/endpoint.hpp
@@ -13,8 +13,9 @@
 #include <string>
 #include <vector>
 
-/// The adapter to endpoints: the one place that knows how databases are
-/// reached. docs/ENDPOINTS.md states its protocol and what it relies on.
+/// Client for the endpoint protocol; the only place that knows how databases
+/// are reached. docs/ENDPOINTS.md describes the protocol and the guarantees it
+/// relies on.
 namespace redwinggw::data {
 
 enum class endpoint_role { Primary, Replica, Sealed };
@@ -28,12 +29,12 @@
   friend bool operator==(const history_row &, const history_row &) = default;
 };
 
-/// What an endpoint says of itself.
+/// State that an endpoint reports about itself.
 struct endpoint_state {
   base::endpoint_name Name;
   endpoint_role Role = endpoint_role::Replica;
   base::term_number Term = 0;
-  /// Id of the order that made the term.
+  /// Id of the failover order that began the term.
   std::string Order;
   base::log_position Received = 0;
   base::log_position Applied = 0;
@@ -57,13 +58,13 @@
   bool ReadOnly = false;
   bool Commit = false;
   bool Rollback = false;
-  /// The run is refused unless the endpoint is the primary of this term.
+  /// The endpoint refuses the run unless it is the primary of this term.
   std::optional<base::term_number> ExpectTerm;
   std::vector<statement> Statements;
 };
 
 struct run_answer {
-  /// One result a statement, as the endpoint sent it: columns, rows, changes.
+  /// One result per statement, as sent by the endpoint: columns, rows, changes.
   boost::json::array Results;
   base::log_position Position = 0;
   bool InTransaction = false;
@@ -86,7 +87,7 @@
 struct run_failure {
   base::failure Failure;
   refusal Refusal = refusal::None;
-  /// The endpoint's state, when it answered at all.
+  /// The endpoint's state, if it answered.
   std::optional<endpoint_state> State;
 };
 
@@ -95,8 +96,8 @@
 connectEndpoint(http::client &Client, http::address Address,
                 std::string Instance, base::instant Deadline);
 
-/// Runs \p Request on a connected client. Exactly one of the members of the
-/// answer is set. A failure whose kind proves "not run" does prove it.
+/// Runs \p Request on a connected client. Exactly one member of the result is
+/// set. A failure whose kind has the outcome "not run" proves that nothing ran.
 struct run_result {
   std::optional<run_answer> Answer;
   run_failure Failed;
@@ -104,7 +105,7 @@
 base::task<run_result> run(http::client &Client, const run_request &Request,
                            std::string Instance, base::instant Deadline);
 
-/// Asks for the state; see docs/ENDPOINTS.md for waiting.
+/// Queries the endpoint's state; docs/ENDPOINTS.md describes WaitReceived.
 struct status_request {
   base::log_position WaitReceived = 0;
   base::term_number Term = 0;
@@ -115,7 +116,8 @@
                                                 std::string Instance,
                                                 base::instant Deadline);
 
-/// Stops the endpoint from committing or taking log of terms below \p Term.
+/// Seals the endpoint: it no longer commits or accepts log entries of terms
+/// below \p Term.
 base::task<base::result<endpoint_state>>
 seal(http::client &Client, base::term_number Term, std::string Order,
      std::string Instance, base::instant Deadline);
@@ -131,7 +133,7 @@
 follow(http::client &Client, base::term_number Term, std::string Order,
        endpoint_address Primary, std::string Instance, base::instant Deadline);
 
-/// The name of \p Role in the protocol and for people. Thread safe.
+/// The name of \p Role in the protocol and in status pages. Thread safe.
 std::string_view roleName(endpoint_role Role);
 
 } // namespace redwinggw::data
--- a/packages/data/include/redwinggw/data/failover.hpp
+++ b/packages/data/include/redwinggw/data/failover.hpp
@@ -15,20 +15,22 @@
 #include <variant>
 #include <vector>
 
-/// One failover of one group, as decisions without I/O: claim a term in the
-/// table service, seal a majority, promote the most advanced, record it.
-/// docs/FAILOVER.md gives the protocol and its reasons.
+/// State machine of one failover of one replica group, without I/O: claims a
+/// term in the table service, seals a majority of the members, promotes the
+/// most advanced one and records it. docs/FAILOVER.md gives the protocol and
+/// its reasons.
 namespace redwinggw::data {
 
-/// Times, and guards that tests switch off to prove that they are needed.
+/// Timeouts, and safety checks that tests switch off to show that each is
+/// needed.
 struct failover_parameters {
-  /// An order that did not get on in one step for so long is given up; the
-  /// next order takes a higher term.
+  /// A failover order without progress in one step for this long is given up;
+  /// the next order claims a higher term.
   base::milliseconds StepTimeout{3000};
-  /// How long the unsealed members are waited for when the majority is only
-  /// reached with the suspected primary.
+  /// How long to wait for the members that are not sealed yet when the majority
+  /// is only reached with the suspected primary.
   base::milliseconds SealGrace{150};
-  /// Time for which an order of another instance is left alone.
+  /// How long an unfinished order of another instance is left alone.
   base::milliseconds OtherOrderTimeout{1000};
   bool ConditionalClaim = true;
   bool ReadBackOwnOrder = true;
@@ -38,13 +40,13 @@
 
 enum class record_state { Ordering, Done };
 
-/// The row "group/NAME" of the table service.
+/// The row "group/NAME" in the table service.
 struct failover_record {
   base::term_number Term = 0;
   std::string Order;
   base::instance_name Orderer;
   record_state State = record_state::Ordering;
-  /// The promoted member, once it is known.
+  /// The promoted member; empty until it is known.
   base::endpoint_name Primary;
 
   friend bool operator==(const failover_record &,
@@ -60,22 +62,22 @@
 /// The row's key. Thread safe.
 std::string recordKey(std::string_view Group);
 
-/// The row's value as JSON and back. Reading fails with errc::BadMessage.
-/// Thread safe.
+/// Converts the row's value to JSON and back. Parsing fails with
+/// errc::BadMessage. Thread safe.
 std::string toText(const failover_record &Record);
 base::result<failover_record> parseRecord(std::string_view Text);
 
-/// What an order is about.
+/// Input of a failover order.
 struct failover_plan {
   base::instance_name Orderer;
   /// Unique for each order.
   std::string Order;
   std::vector<endpoint_address> Members;
-  /// The suspected primary, if it is known.
+  /// The suspected primary, if known.
   std::optional<base::endpoint_name> Suspected;
-  /// Highest term that any member told.
+  /// Highest term that any member reported.
   base::term_number SeenTerm = 0;
-  /// The row as it was read before the order.
+  /// The row as read before the order started.
   versioned_record Row;
 };
 
@@ -87,7 +89,7 @@
   Promoting,
   Recording,
   Done,
-  /// Another order has a higher term, or this one lost the claim.
+  /// Another order has a higher term, or this order lost the claim.
   Superseded,
   GivenUp,
 };
@@ -97,25 +99,26 @@
 struct order_started {
   base::instant Now;
 };
-/// The suspicion ended before the claim was known to be taken.
+/// The primary is no longer suspected, and the claim was not yet known to be
+/// stored.
 struct order_abandoned {};
 enum class commit_outcome { Taken, Conflict, Unknown };
 struct row_committed {
   commit_outcome Outcome = commit_outcome::Unknown;
-  /// The row's new version, when it was taken.
+  /// The row's new version if the commit was stored.
   std::uint64_t Version = 0;
 };
-/// Answer to read_row; empty when the store did not answer.
+/// Result of read_row; empty when the store did not answer.
 struct row_read {
   std::optional<versioned_record> Row;
 };
 enum class member_request { Seal, Promote };
-/// Answer of a member; empty when it did not answer.
+/// A member's answer to seal or promote; empty when it did not answer.
 struct member_answered {
   base::endpoint_name Member;
   member_request Request = member_request::Seal;
   std::optional<endpoint_state> State;
-  /// It refused because of a higher term or another order.
+  /// The member refused because it has a higher term or another order.
   bool Refused = false;
 };
 struct time_passed {
@@ -155,7 +158,7 @@
                                       promote_member, follow_member>;
 /// @}
 
-/// What an order knows. Plain data behind the machine.
+/// State of a failover order; plain data that the state machine works on.
 struct failover_order {
   failover_parameters Parameters;
   failover_plan Plan;
@@ -163,15 +166,15 @@
   base::instant Now;
   base::instant StepSince;
   std::vector<endpoint_state> Sealed;
-  /// Members with an open request.
+  /// Members with a request in flight.
   std::set<base::endpoint_name> Asked;
   bool CommitOpen = false;
   bool ReadOpen = false;
-  /// Whether a member refused because of a higher term or another order.
+  /// Whether a member refused because it has a higher term or another order.
   bool Refused = false;
   std::optional<versioned_record> RowRead;
   commit_outcome Commit = commit_outcome::Unknown;
-  /// Version of the row with this order's claim, once it is known.
+  /// Version of the row that holds this order's claim, once known.
   std::optional<std::uint64_t> OwnVersion;
   base::endpoint_name Chosen;
   bool Promoted = false;
@@ -180,34 +183,36 @@
 /// The term of the last entry in \p State's log; 0 when the log is empty.
 base::term_number lastEntryTerm(const endpoint_state &State);
 
-/// The member to promote among \p Sealed, a majority of \p Members: the one
-/// whose log is most advanced, without the suspected primary if the others
-/// are a majority by themselves. Precondition: Sealed is not empty.
+/// Chooses the member to promote from \p Sealed, a majority of \p Members: the
+/// one with the most advanced log. The suspected primary is left out if the
+/// others are a majority by themselves. Precondition: Sealed is not empty.
 const endpoint_state &
 chooseMember(const std::vector<endpoint_state> &Sealed, std::size_t Members,
              const std::optional<base::endpoint_name> &Suspected,
              const failover_parameters &Parameters);
 
-/// When a row was first seen as it is, by the clock of this instance.
+/// When this instance first saw the row in its current version, by its own
+/// clock.
 struct row_watch {
   std::uint64_t Version = 0;
   base::instant FirstSeen;
 };
 
-/// Whether a new order may be claimed over \p Row; an unfinished order of
-/// another instance is left alone for a bound, after which its orderer is
-/// taken to have died. \p NoPrimarySince: since when the view's highest term
-/// has had no primary.
+/// Whether a new order may claim a term over \p Row. An unfinished order of
+/// another instance is left alone for OtherOrderTimeout; after that its orderer
+/// is presumed dead. \p NoPrimarySince is the time since which the view's
+/// highest term has had no primary.
 bool mayClaim(row_watch &Watch, const versioned_record &Row,
               const group_view &View,
               std::optional<base::instant> NoPrimarySince,
               const failover_parameters &Parameters, base::instant Now);
 
-/// The members that have to be told to follow the group's primary: a primary
-/// that was replaced, a member that was away, or one sealed and not chosen.
+/// The members that must be told to follow the group's primary: a replaced
+/// primary, a member that was unreachable, or one that was sealed but not
+/// promoted.
 std::vector<follow_member> membersToReconcile(const group_view &View);
 
-/// The machine of one order. Not thread safe.
+/// The state machine of one failover order. Not thread safe.
 class failover {
 public:
   failover(failover_plan Plan, failover_parameters Parameters);
@@ -215,8 +220,8 @@
   failover &operator=(failover &&) noexcept;
   ~failover();
 
-  /// Takes in \p Event and returns what to do. Every command is answered by
-  /// an event, except follow_member, which needs none.
+  /// Processes \p Event and returns the commands to execute. Each command is
+  /// answered by an event, except follow_member, which needs none.
   std::vector<failover_command> process(const failover_event &Event);
 
   failover_step step() const;
@@ -227,10 +232,10 @@
   std::unique_ptr<machine> Machine;
 };
 
-/// Whether \p Step is a last one.
+/// Whether \p Step is final.
 bool isOver(failover_step Step);
 
-/// The name of \p Step for people. Thread safe.
+/// The name of \p Step for log lines. Thread safe.
 std::string_view stepName(failover_step Step);
 
 } // namespace redwinggw::data
--- a/packages/data/include/redwinggw/data/group_service.hpp
+++ b/packages/data/include/redwinggw/data/group_service.hpp
@@ -18,26 +18,27 @@
 #include <string_view>
 #include <vector>
 
-/// Watches the database groups, confirms writes and reads, and orders
-/// failovers; docs/FAILOVER.md states the protocol.
+/// Monitors the replica groups, confirms writes and reads, and orders
+/// failovers; docs/FAILOVER.md describes the protocol.
 namespace redwinggw::data {
 
-/// Times of the watcher. Defaults suit zones a millisecond apart.
+/// Timing of the monitoring. The defaults suit zones a millisecond apart.
 struct group_options {
   base::milliseconds PollInterval{100};
-  /// A status question without an answer for so long has failed.
+  /// Timeout of a status query, and of seal, promote and follow requests.
   base::milliseconds PollTimeout{250};
-  /// Longest wait at a replica for a position.
+  /// Longest time that a query waits at a replica for a position.
   base::milliseconds ReplicaWaitTimeout{250};
-  /// Pause before a question that the last answer makes look hopeless.
+  /// Delay before a query to a replica whose last answer confirmed nothing.
   base::milliseconds QueryDelay{10};
-  /// Orders start after a random part of this, so that instances do not race.
+  /// An order starts after a random delay below this, so that instances do not
+  /// race for the claim.
   base::milliseconds Jitter{100};
   detector_parameters Detector;
   failover_parameters Failover;
 };
 
-/// What stands behind the service; shared with its coroutines.
+/// Internal state of the service, shared with its coroutines.
 struct group_service_state;
 
 /// The service "groups". Used from one thread; it must outlive the work of
@@ -52,47 +53,48 @@
   group_service &operator=(const group_service &) = delete;
   ~group_service();
 
-  /// Takes over the groups and members of \p Configuration. What is known of
+  /// Replaces the groups and members by those of \p Configuration. The state of
   /// members that stay is kept.
   void apply(const control::configuration &Configuration);
 
-  /// Begins to poll the members. Called once.
+  /// Starts polling the members. Call once.
   void start();
 
-  /// Orders no more failovers. Polls and confirmations go on for the requests
-  /// that still run, until the executor is stopped.
+  /// Stops ordering failovers. Polls and confirmations continue for requests
+  /// that still run, until the executor stops.
   void drain();
 
-  /// What is known of \p Group; an empty view when there is no such group.
-  /// The reference is valid until the next apply.
+  /// The view of \p Group; an empty view when there is no such group. The
+  /// reference is valid until the next apply.
   const group_view &view(std::string_view Group) const;
 
-  /// Waits until a majority of \p Group, its primary included, holds
+  /// Waits until a majority of \p Group, including its primary, holds
   /// \p Position in \p Term; see confirm_kind.
   ///
   /// Precondition: the primary answered in \p Term, at \p Position or later.
-  /// For reads the question to the primary may run at the same time, as long
-  /// as both begin after the request arrived.
+  /// For reads the request to the primary may run concurrently, as long as both
+  /// start after the request arrived.
   ///
   /// Fails with errc::TermReplaced when a member is in a higher term, and with
-  /// errc::DeadlinePassed. After either a write may still survive: its caller
-  /// is told errc::OutcomeUnknown, never "not run".
+  /// errc::DeadlinePassed. In both cases a write may still survive: its caller
+  /// gets errc::OutcomeUnknown, never "not run".
   base::task<base::result<void>>
   confirm(base::group_name Group, base::term_number Term,
           base::log_position Position, base::instant Deadline,
           confirm_kind Kind = confirm_kind::ReplicatedAndCurrent);
 
-  /// Waits until the group has a primary that is not suspected here. Fails
-  /// with errc::NoPrimary at \p Deadline.
+  /// Waits until the group has a primary that this instance does not suspect.
+  /// Fails with errc::NoPrimary at \p Deadline.
   base::task<base::result<void>> awaitPrimary(base::group_name Group,
                                               base::instant Deadline);
 
-  /// Feeds the detector: a request to \p Endpoint that was sent at \p At was
-  /// answered (also by a refusal) or not.
+  /// Passes the result of a request to the failure detector: a request to
+  /// \p Endpoint sent at \p At was answered (a refusal counts as an answer)
+  /// or not.
   void noteTraffic(std::string_view Group, std::string_view Endpoint,
                    bool Answered, base::instant At);
 
-  /// Feeds the view with a state that came with an answer to a request sent
+  /// Updates the view with a state that came with the answer to a request sent
   /// at \p AskedAt.
   void noteState(std::string_view Group, const endpoint_state &State,
                  base::instant AskedAt);
@@ -100,11 +102,11 @@
   /// Calls \p Hook after a group's term or primary changed.
   void onChange(std::function<void(const base::group_name &)> Hook);
 
-  /// Sets the port to the other instances: what they last reported. Without
-  /// it the instance decides alone.
+  /// Sets the source of the other instances' latest reports. Without it this
+  /// instance decides alone.
   void setPeers(std::function<std::vector<peer_report>()> Reports);
 
-  /// What this instance reports to the others.
+  /// The groups that this instance suspects, as reported to the others.
   std::vector<suspicion> suspicions() const;
 
 private:
--- a/packages/data/include/redwinggw/data/pinned_connection.hpp
+++ b/packages/data/include/redwinggw/data/pinned_connection.hpp
@@ -5,7 +5,7 @@
 
 #include <memory>
 
-/// A connection that one transaction keeps over several runs.
+/// A connection that one transaction keeps across several runs.
 namespace redwinggw::data {
 
 class dispatcher;
@@ -14,20 +14,22 @@
 
 struct pinned_connection {
   std::shared_ptr<dispatcher> Target;
-  /// Null before the first run, and after the connection was lost: then the
-  /// endpoint rolls the transaction back.
+  /// Null before the first run, and after the connection was lost; the endpoint
+  /// rolls back the transaction in that case.
   connection_handle Connection;
 };
 
-/// Runs \p Request on the transaction's connection, in the customer's turn.
-/// Takes a connection on the first run. A run without an answer loses it.
+/// Runs \p Request on the transaction's connection, as soon as the dispatcher
+/// lets it run. The first run acquires the connection. A run without an answer
+/// closes it.
 base::task<run_result> runPinned(statement_core &Core,
                                  pinned_connection &Pinned, call &Call,
                                  run_request Request);
 
-/// Ends the use of the connection. Only when \p Clean, that is when the
-/// endpoint confirmed that the transaction is over, another one may have it:
-/// otherwise its statements could end up in the transaction left open.
+/// Ends the use of the connection. It returns to the pool only when \p Clean,
+/// that is when the endpoint confirmed that the transaction is over; otherwise
+/// another request's statements could run in the transaction that was left
+/// open.
 void unpin(statement_core &Core, pinned_connection &Pinned, bool Clean);
 
 } // namespace redwinggw::data
--- a/packages/data/include/redwinggw/data/request_record.hpp
+++ b/packages/data/include/redwinggw/data/request_record.hpp
@@ -9,20 +9,20 @@
 #include <optional>
 #include <string>
 
-/// At most once: the caller's request id is recorded in the database, in the
-/// same transaction as the request's effect. Whoever repeats the request,
-/// through whatever instance, before or after a failover, meets the record by
-/// its unique key.
+/// At-most-once execution. The caller's request id (an idempotency key) is
+/// recorded in the database, in the same transaction as the request's effect. A
+/// retry through any instance, before or after a failover, fails on the
+/// record's unique key.
 namespace redwinggw::data {
 
-/// Names one request of a customer, over all its repeats.
+/// Identifies one request of a customer and all its retries.
 struct request_identity {
   base::customer_name Customer;
   std::string Id;
-  /// Wall clock of the first try, milliseconds, given by the caller.
+  /// Wall clock of the first try in milliseconds, set by the caller.
   std::int64_t IssuedAt = 0;
-  /// Digest of all that makes the request what it is; empty in an enquiry,
-  /// which matches every body.
+  /// Digest of everything that defines the request. Empty in an outcome query,
+  /// which matches every request with the id.
   std::string Digest;
 };
 
@@ -32,49 +32,49 @@
   request_state State = request_state::Done;
   std::string Digest;
   std::int64_t Changes = 0;
-  /// Rows of a returning write as JSON text; empty when it returned none.
+  /// Rows of a returning write as JSON text; empty for other writes.
   std::string Result;
 };
 
-/// Records are kept for so long after IssuedAt.
+/// Records are kept for this long after IssuedAt.
 constexpr base::milliseconds RecordRetention{24LL * 60 * 60 * 1000};
 
 /// Fails with errc::RequestExpired when a record of this age may have been
-/// deleted, so that a repeat could no longer be told from a first try, and
-/// with errc::BadRequest when \p IssuedAt lies in the future.
+/// deleted, since a retry could no longer be recognized, and with
+/// errc::BadRequest when \p IssuedAt is in the future.
 base::result<void> checkAge(std::int64_t IssuedAt, std::int64_t WallNow);
 
-/// Digest over the parts of a request; \p Parts in a fixed order.
+/// Digest over the parts of a request; the order of \p Parts matters.
 std::string requestDigest(const std::vector<std::string> &Parts);
 
-/// Creates the table of records unless it is there.
+/// Creates the table of request records if it does not exist.
 statement createRecordTable();
 
-/// Adds a record; fails on the unique key when there is one already.
+/// Adds a record; fails on the unique key when it exists.
 statement insertRecord(const request_identity &Identity, request_state State);
 
-/// Stores in the record how many rows the statement before it changed.
+/// Stores in the record the number of rows that the previous statement changed.
 statement storeChanges(const request_identity &Identity);
 
-/// Stores the rows that a returning write gave.
+/// Stores in the record the rows that a returning write produced.
 statement storeResult(const request_identity &Identity, std::int64_t Changes,
                       std::string Result);
 
 statement selectRecord(const request_identity &Identity);
 
-/// Deletes up to a bounded number of records past their retention.
+/// Deletes a bounded number of records past their retention.
 statement deleteExpired(std::int64_t WallNow);
 
-/// The record in the result of selectRecord, nothing when there is none.
+/// Reads the record from the result of selectRecord; empty when there is none.
 std::optional<request_record> recordOf(const boost::json::value &Result);
 
-/// Whether \p Failure says that the table of records is not there yet.
+/// Whether \p Failure says that the table of request records does not exist.
 bool isMissingTable(const base::failure &Failure);
 
-/// What a repeat finds.
+/// What the record says about a retry of a request.
 enum class retry_verdict {
   Done,      ///< The request ran; the record holds its outcome.
-  Cancelled, ///< An enquiry cancelled it before it ran.
+  Cancelled, ///< An outcome query cancelled it before it ran.
   Reused,    ///< The id belongs to another request.
 };
 
--- a/packages/data/include/redwinggw/data/request_trace.hpp
+++ b/packages/data/include/redwinggw/data/request_trace.hpp
@@ -4,7 +4,7 @@
 
 #include <string>
 
-/// What the time line and the metrics keep of each request.
+/// Records each request in the timeline and the metrics.
 namespace redwinggw::data {
 
 struct request_trace {
@@ -17,7 +17,7 @@
 
 void noteReceived(statement_core &Core, const request_trace &Trace);
 
-/// Counts the answer and its time.
+/// Counts the answer and its latency.
 void noteAnswered(statement_core &Core, const request_trace &Trace,
                   const base::result<caller_answer> &Answer);
 
--- a/packages/data/include/redwinggw/data/retry_policy.hpp
+++ b/packages/data/include/redwinggw/data/retry_policy.hpp
@@ -5,49 +5,49 @@
 
 #include <cstdint>
 
-/// When a failed try is repeated, and when an endpoint is left alone.
+/// Retry budget, backoff and circuit breaker.
 namespace redwinggw::data {
 
-/// Limits repeats to a share of the requests, so that the end of an outage is
-/// not met by a multiple of the load.
+/// Token bucket that limits retries to a fraction of the requests, so that
+/// retries do not multiply the load at the end of an outage.
 struct retry_budget {
   double Tokens = 20;
   double Limit = 20;
-  /// Repeats earned by each request.
+  /// Tokens added by each request.
   double EarnedPerRequest = 0.2;
 };
 
-/// Counts a first try.
+/// Adds the tokens that a first try earns.
 void noteRequest(retry_budget &Budget);
 
-/// Takes one repeat; false when the budget is used up.
+/// Takes a token for one retry; false when the budget is used up.
 bool spendRetry(retry_budget &Budget);
 
-/// Time to wait before try number \p Try (1 for the first repeat): doubled
-/// each time, capped, and spread by \p Random, uniform in [0, 1).
+/// Delay before try number \p Try (1 for the first retry): exponential, capped,
+/// with jitter from \p Random, uniform in [0, 1).
 base::microseconds backoff(unsigned Try, double Random);
 
-/// State of the way to one endpoint.
+/// Circuit breaker of one endpoint.
 struct circuit_breaker {
   unsigned Failures = 0;
-  /// No request goes there before this time.
+  /// No requests are sent to the endpoint before this time.
   base::instant OpenUntil;
 };
 
-/// Whether requests may go there.
+/// Whether requests may be sent to the endpoint.
 bool isClosed(const circuit_breaker &Circuit, base::instant Now);
 
 void noteSuccess(circuit_breaker &Circuit);
 
-/// Opens the circuit after several failures in a row, for a time that grows
-/// and is spread by \p Random, uniform in [0, 1).
+/// Opens the circuit after several consecutive failures, for an exponentially
+/// growing time with jitter from \p Random, uniform in [0, 1).
 void noteFailure(circuit_breaker &Circuit, base::instant Now, double Random);
 
-/// What a failed try allows.
+/// Which retry is safe after a failed try.
 enum class retry_kind {
-  Never,    ///< The answer is final.
-  Anywhere, ///< Proved not run: try again, there or elsewhere.
-  SameId,   ///< Outcome unknown: only a repeat that is recognised may follow.
+  Never,    ///< The failure is final.
+  Anywhere, ///< Proved not run: may be retried at any endpoint.
+  SameId,   ///< Outcome unknown: only a retry under the same id is safe.
 };
 
 retry_kind retryKindOf(const base::failure &Failure);
--- a/packages/data/include/redwinggw/data/routing.hpp
+++ b/packages/data/include/redwinggw/data/routing.hpp
@@ -9,15 +9,15 @@
 #include <string_view>
 #include <vector>
 
-/// Where a read goes: to a replica that is proved fresh enough for the session
-/// and the declared age, otherwise to the primary.
+/// Routes a read: to a replica proved fresh enough for the session and for the
+/// declared maximum age, otherwise to the primary.
 namespace redwinggw::data {
 
-/// What a caller told of its session.
+/// State of the session token that came with a request.
 enum class session_kind {
-  Missing,  ///< No token: it may have written something that we cannot know.
-  None,     ///< The caller says that there is nothing to be consistent with.
-  Verified, ///< A token that verified.
+  Missing,  ///< No token: the session may have written anything.
+  None,     ///< The caller declares that it has no session.
+  Verified, ///< A valid token.
   Invalid,  ///< A token that did not verify.
 };
 
@@ -25,26 +25,27 @@
 
 struct read_request {
   session_kind Session = session_kind::Missing;
-  /// The session's position in the group, when it has one.
+  /// The session's position in the group, if it has one.
   std::optional<group_position> Position;
-  /// Age that the read accepts; zero: only the primary will do.
+  /// Maximum age of the data that the read accepts; zero: only the primary may
+  /// serve it.
   base::milliseconds MaxAge{0};
 };
 
-/// What routing weighs besides freshness.
+/// Load of an endpoint, as routing takes it into account.
 struct endpoint_load {
   base::endpoint_name Name;
-  /// Requests waiting or running there, of this instance.
+  /// Requests of this instance that wait or run there.
   std::size_t Pending = 0;
-  /// The circuit is open: recent requests failed.
+  /// The circuit breaker is open: recent requests failed.
   bool BreakerOpen = false;
 };
 
 struct routing_settings {
   read_policy Policy = read_policy::Replicas;
-  /// Longest wait for a replica to reach a session's position.
+  /// Longest wait for a replica to reach the session's position.
   base::milliseconds ReplicaWait{80};
-  /// Test only: mutations that the fault matrix must catch.
+  /// For tests only: faults that the fault matrix must detect.
   bool MutateIgnoreSession = false;
   bool MutateIgnoreAge = false;
 };
@@ -59,26 +60,27 @@
 };
 
 struct route {
-  /// The replica, or nothing for the primary.
+  /// The replica; empty for the primary.
   std::optional<base::endpoint_name> Replica;
-  /// Time to wait before sending, so that the replica has caught up.
+  /// Delay before sending, in which the replica is expected to catch up.
   base::microseconds Wait{0};
   route_reason Reason = route_reason::NotAllowed;
 };
 
-/// Whether \p Read may go to a replica at all.
+/// Whether \p Read may be served by a replica at all.
 bool mayUseReplica(const read_request &Read, const routing_settings &Settings);
 
-/// Chooses where \p Read goes. Prefers, among fresh replicas, \p Zone first,
-/// then the one with least pending work. Thread safe on constant data.
+/// Chooses the endpoint for \p Read. Among replicas that are fresh enough it
+/// prefers the shortest wait, then \p Zone, then the least pending requests.
+/// Thread safe as long as the data is not modified.
 route routeRead(const group_view &View, const read_request &Read,
                 const std::vector<endpoint_load> &Loads, std::string_view Zone,
                 const routing_settings &Settings, base::instant Now);
 
-/// Judges the state that came with a replica's answer. The state that routing
-/// had seen may be older than a rebuild of the replica; the answer's own state
-/// is what the read saw, so only an answer that passes here is delivered.
-/// \p SentAt is the time before the read was sent.
+/// Checks the state that came with a replica's answer. The replica may have
+/// been rebuilt after the state that routing used; the answer's state is what
+/// the read saw, so only an answer that passes this check is returned to the
+/// caller. \p SentAt is the time before the read was sent.
 bool isFreshEnough(const group_view &View, const endpoint_state &AnswerState,
                    base::log_position ReadPosition, const read_request &Read,
                    const routing_settings &Settings, base::instant SentAt);
--- a/packages/data/include/redwinggw/data/session_token.hpp
+++ b/packages/data/include/redwinggw/data/session_token.hpp
@@ -8,11 +8,11 @@
 #include <string_view>
 #include <vector>
 
-/// Session tokens: what a caller has seen of each group, carried by the caller
-/// itself, so that read-your-writes holds through any instance.
+/// Session tokens. The caller carries the positions that its session has seen
+/// in each group, so that read-your-writes holds through any instance.
 namespace redwinggw::data {
 
-/// A point in the history of a group.
+/// A position in the log of a group.
 struct group_position {
   base::group_name Group;
   base::term_number Term = 0;
@@ -22,7 +22,7 @@
                          const group_position &) = default;
 };
 
-/// What one session has seen; sorted by group.
+/// The positions that one session has seen, sorted by group.
 struct session_state {
   std::vector<group_position> Positions;
 
@@ -30,13 +30,12 @@
                          const session_state &) = default;
 };
 
-/// The token for \p Session, signed under \p FleetKey and bound to
-/// \p Customer: with another customer's key it does not verify. Thread safe.
+/// Encodes \p Session as a token, signed with \p FleetKey and bound to
+/// \p Customer: it does not verify for another customer. Thread safe.
 std::string encodeToken(std::string_view FleetKey, std::string_view Customer,
                         const session_state &Session);
 
-/// What \p Token says; nothing when it was not signed for \p Customer.
-/// Thread safe.
+/// Decodes \p Token; empty when it was not signed for \p Customer. Thread safe.
 std::optional<session_state> decodeToken(std::string_view FleetKey,
                                          std::string_view Customer,
                                          std::string_view Token);
@@ -45,20 +44,19 @@
 const group_position *findPosition(const session_state &Session,
                                    std::string_view Group);
 
-/// Whether \p Position is part of the branch that \p History describes. It is
-/// not when its term is unknown there or when the branch left that term before
-/// the position: the entries were dropped by a promotion.
+/// Whether \p Position is on the branch that \p History describes. It is not
+/// when the history lacks its term, or when that term ended on the branch
+/// before the position: a promotion dropped those entries.
 bool isOnBranch(const std::vector<history_row> &History,
                 const group_position &Position);
 
-/// Whether data at \p Applied, on the branch of \p History, holds all that
-/// \p Position has seen.
+/// Whether data at \p Applied, on the branch of \p History, contains everything
+/// that \p Position has seen.
 bool covers(const std::vector<history_row> &History, base::log_position Applied,
             const group_position &Position);
 
-/// Notes that the session has seen \p Seen. A position that the session had on
-/// an earlier term of the same branch is replaced when it is lower; positions
-/// on a lost branch are replaced always.
+/// Adds \p Seen to the session. A lower position on the same branch is
+/// replaced, a position on a lost branch is always replaced.
 void advance(session_state &Session, const std::vector<history_row> &History,
              const group_position &Seen);
 
--- a/packages/data/include/redwinggw/data/slot_window.hpp
+++ b/packages/data/include/redwinggw/data/slot_window.hpp
@@ -4,36 +4,38 @@
 
 #include <cstddef>
 
-/// How many requests one instance keeps running at one endpoint. The slots of
-/// a database are shared by all instances without messages between them: each
-/// grows its window while answers come without queueing in the database and
-/// shrinks it when they queue (additive increase, multiplicative decrease).
+/// Concurrency window: how many requests one instance keeps running at one
+/// endpoint. All instances share the database's slots without exchanging
+/// messages: each grows its window while answers show no queueing in the
+/// database and shrinks it when they do (additive increase, multiplicative
+/// decrease).
 namespace redwinggw::data {
 
 struct slot_window {
-  /// Current limit; its whole part counts.
+  /// Current window size; only the whole part counts.
   double Size = 1;
   std::size_t Running = 0;
-  /// Largest size: this instance's connections there.
+  /// Largest size: the number of connections that the instance may use there.
   double Limit = 1;
-  /// Smallest time outside the slot seen lately: the network's share.
+  /// Smallest recent delay outside the slot, that is, the network's part.
   base::microseconds BaseDelay{0};
-  /// The window shrinks at most once a round trip.
+  /// The window shrinks at most once per round trip.
   base::instant ShrunkAt;
 };
 
-/// Whether one more request may run now.
+/// Whether one more request may run.
 bool hasRoom(const slot_window &Window);
 
 /// Counts a request as running. Precondition: hasRoom.
 void startRequest(slot_window &Window);
 
-/// Counts a request as over. \p RoundTrip is the time from sending to the
-/// answer, \p Busy the part in which it held a slot.
+/// Counts a request as finished. \p RoundTrip is the time from sending it to
+/// its answer, \p Busy the part in which it held a slot.
 void finishRequest(slot_window &Window, base::microseconds RoundTrip,
                    base::microseconds Busy, base::instant Now);
 
-/// Counts a request as over that brought no measure (failed, rolled back).
+/// Counts a request as finished that gave no measurement (failed or rolled
+/// back).
 void finishUnmeasured(slot_window &Window);
 
 } // namespace redwinggw::data
--- a/packages/data/include/redwinggw/data/statement_core.hpp
+++ b/packages/data/include/redwinggw/data/statement_core.hpp
@@ -22,21 +22,22 @@
 #include <random>
 #include <string>
 
-/// What serving statements needs of the other services, and what all paths of
-/// a statement share.
+/// State and functions shared by the read, write and transaction paths of a
+/// statement, and what they need of the other services.
 namespace redwinggw::data {
 
-/// The other services as functions, so that tests can take their place.
+/// The other services as functions, so that tests can replace them.
 struct statement_ports {
-  /// The configuration in force. The reference lives until it changes.
+  /// The configuration in force. The reference is valid until it changes.
   std::function<const control::configuration &()> Configuration;
-  /// Whether this instance's configuration is current enough to serve.
+  /// Whether this instance's configuration is recent enough to serve.
   std::function<bool()> MayServe;
-  /// Counts one request against the customer's rate and burst.
+  /// Takes a token of the customer's rate and burst; waits for one until the
+  /// deadline.
   std::function<base::task<base::result<void>>(base::customer_name,
                                                base::instant)>
       Admit;
-  /// What is known of a group; null when there is none of that name.
+  /// The view of a group; null when there is no such group.
   std::function<const group_view *(std::string_view)> View;
   /// Waits until a majority holds a position in a term.
   std::function<base::task<base::result<void>>(
@@ -46,22 +47,23 @@
   /// Waits until the group has a primary.
   std::function<base::task<base::result<void>>(base::group_name, base::instant)>
       AwaitPrimary;
-  /// Tells the failure detector how a request to an endpoint went.
+  /// Passes the result of a request to the failure detector.
   std::function<void(std::string_view Group, std::string_view Endpoint,
                      bool Answered, base::instant At)>
       NoteTraffic;
-  /// Tells what came with an answer to a request sent at that time. Answers
-  /// come far more often than polls, so that positions and ages are finer.
+  /// Passes the state that came with an answer to a request sent at that time.
+  /// Answers are far more frequent than polls, so positions and ages are more
+  /// accurate.
   std::function<void(std::string_view Group, const endpoint_state &State,
                      base::instant AskedAt)>
       NoteState;
-  /// Adds an event to the time line.
+  /// Adds an event to the timeline.
   std::function<void(base::event_kind, std::string_view Subject,
                      std::string_view Detail, std::string_view RequestId)>
       Record;
 };
 
-/// Counters of statements; read by the metrics.
+/// Statement counters, exported as metrics.
 struct statement_counters {
   std::uint64_t Requests = 0;
   std::uint64_t Reads = 0;
@@ -82,7 +84,7 @@
   std::string FleetKey;
   routing_settings Routing;
   queue_settings Queue;
-  /// A single try at an endpoint is given up after this time.
+  /// Timeout of a single try at an endpoint.
   base::milliseconds TryTimeout{1000};
 };
 
@@ -98,18 +100,19 @@
   base::metrics Metrics;
   std::minstd_rand Random{std::random_device{}()};
   bool Draining = false;
-  /// Changes of the configuration so far. Versions do not do: a withdrawal of
-  /// unknown outcome takes a key out of force under the same version.
+  /// Number of configuration changes so far. The version cannot be used
+  /// instead: a withdrawal of unknown outcome revokes a key under the same
+  /// version.
   std::uint64_t ConfigurationChanges = 0;
 };
 
-/// One request of a caller on its way.
+/// One caller request while it is served.
 struct call {
   base::customer_name Customer;
   std::string KeyId;
   std::string KeyDigest;
-  /// Number of the change of the configuration after which the key was last
-  /// found in force; 0: not yet.
+  /// Value of ConfigurationChanges when the key was last found in force; 0: not
+  /// checked yet.
   std::uint64_t KeyCheckedAt = 0;
   caller_request Request;
   base::group_name Group;
@@ -119,77 +122,78 @@
   base::instant Deadline;
 };
 
-/// Makes the dispatchers match \p Configuration. Each instance may open the
-/// endpoint's connections divided by \p Instances, at least one.
+/// Creates and removes dispatchers to match \p Configuration. Each instance may
+/// open the endpoint's connections divided by \p Instances, but at least one.
 void applyConfiguration(statement_core &Core,
                         const control::configuration &Configuration,
                         std::size_t Instances);
 
-/// Whether the key that came with \p Call is still in force. Asked again after
-/// each wait: a withdrawal must reach requests that queue already.
+/// Whether the key that came with \p Call is still in force. Checked again
+/// after each wait, so that a withdrawal also stops requests that are queued.
 bool isKeyInForce(const statement_core &Core, call &Call);
 
-/// Whether \p Call may still run: this instance's configuration is current and
-/// the key is in force in it. Asked right before each run: the process may have
-/// been paused, and the key withdrawn, while the request waited.
+/// Whether \p Call may still run: this instance's configuration is recent
+/// enough and the key is in force in it. Checked right before each run, because
+/// the process may have been paused and the key withdrawn while the request
+/// waited.
 base::result<void> mayStillRun(const statement_core &Core, call &Call);
 
-/// Runs \p Request at \p Target in its turn, on a connection of its own.
+/// Queues \p Request at \p Target and runs it on a connection of its own.
 base::task<run_result> runAt(statement_core &Core,
                              std::shared_ptr<dispatcher> Target, call &Call,
                              run_request Request);
 
-/// The dispatcher of the group's primary, null when none is known.
+/// The dispatcher of the group's primary, null when the primary is unknown.
 std::shared_ptr<dispatcher> primaryOf(const statement_core &Core,
                                       const group_view &View);
 
-/// Waits for the group's primary; the view with a primary known.
+/// Waits until the group has a primary; returns the view with that primary.
 base::task<base::result<const group_view *>> awaitPrimary(statement_core &Core,
                                                           const call &Call);
 
-/// Waits before try number \p Try, or says why there is none: the budget is
-/// used up or the deadline is too near. Then the final answer goes out at once.
-/// While the group has no primary that answers, the request stays parked.
+/// Waits before try number \p Try. Fails with \p Last at once when the retry
+/// budget is used up or the deadline is too near. While no primary of the group
+/// answers, the request keeps waiting until its deadline.
 base::task<base::result<void>> awaitRetry(statement_core &Core,
                                           const call &Call, unsigned Try,
                                           const base::failure &Last);
 
-/// The session's token after \p Position has been seen.
+/// Token of the session after it has seen \p Position.
 std::string tokenAfter(const statement_core &Core, call &Call,
                        base::term_number Term, base::log_position Position);
 
-/// Serves a single read.
+/// Serves a single read statement.
 base::task<base::result<caller_answer>> serveRead(statement_core &Core,
                                                   call Call);
 
-/// Serves a single write, recorded under its request id.
+/// Serves a single write statement, recorded under its request id.
 base::task<base::result<caller_answer>> serveWrite(statement_core &Core,
                                                    call Call);
 
-/// Tells what became of a request; cancels it when it has not run.
+/// Returns the outcome of a request; cancels the request if it has not run.
 base::task<base::result<caller_answer>> serveOutcome(statement_core &Core,
                                                      call Call);
 
-/// A record, or the lack of one, as a majority holds it.
+/// A record, or its absence, as confirmed by a majority.
 struct found_record {
   std::optional<request_record> Record;
   base::term_number Term = 0;
   base::log_position Position = 0;
 };
 
-/// Reads the record of a request at the primary and confirms it.
+/// Reads the record of a request at the primary and has a majority confirm it.
 base::task<base::result<found_record>>
 readRecord(statement_core &Core, call &Call, const request_identity &Identity);
 
-/// Names the request of \p Call.
+/// The identity of the request of \p Call.
 request_identity identityOf(const call &Call);
 
-/// The answer that a record gives to a repeat of its request.
+/// The answer to a retry of a request that has \p Record.
 base::result<caller_answer> answerOf(const request_record &Record,
                                      const request_identity &Identity);
 
 /// Deletes a bounded number of expired records at each group's primary. Any
-/// instance may do so at any time; records that still count are not touched.
+/// instance may do so at any time; records within their retention stay.
 base::task<void> deleteExpiredRecords(statement_core &Core);
 
 } // namespace redwinggw::data
--- a/packages/data/include/redwinggw/data/transaction_table.hpp
+++ b/packages/data/include/redwinggw/data/transaction_table.hpp
@@ -6,7 +6,7 @@
 #include <map>
 #include <string>
 
-/// Transactions of several statements that callers hold open.
+/// Open transactions of several statements each.
 namespace redwinggw::data {
 
 struct open_transaction {
@@ -19,21 +19,21 @@
   session_kind SessionKind = session_kind::Missing;
   session_state Session;
   base::instant UsedAt;
-  /// A run of it is under way.
+  /// A run of the transaction is in progress.
   bool Busy = false;
 };
 
 /// Used from one thread.
 struct transaction_table {
   std::map<std::string, open_transaction, std::less<>> Open;
-  /// A transaction unused for so long is rolled back.
+  /// A transaction without a statement for this long is rolled back.
   base::milliseconds IdleLimit{10'000};
   std::size_t Limit = 1000;
 };
 
-/// Opens a transaction on a connection of its own at the group's primary. A
-/// write transaction carries the record of its request id from the start; a
-/// repeat of a committed one is answered with that outcome.
+/// Begins a transaction on its own connection at the group's primary. A write
+/// transaction inserts the record of its request id first; a retry of a
+/// committed one gets the recorded outcome.
 base::task<base::result<caller_answer>>
 beginTransaction(statement_core &Core, transaction_table &Table, call Call);
 
@@ -47,12 +47,13 @@
 base::task<base::result<caller_answer>>
 rollBackTransaction(statement_core &Core, transaction_table &Table, call Call);
 
-/// Rolls back the transaction of \p Call, if it is its customer's own and idle.
+/// Rolls back the transaction of \p Call if it belongs to the same customer and
+/// no run is in progress.
 void abandonTransaction(statement_core &Core, transaction_table &Table,
                         const call &Call);
 
-/// Rolls back, by closing their connections, the transactions that are idle
-/// for too long and those whose key is not in force any more.
+/// Rolls back, by closing their connections, transactions that have been idle
+/// for too long or whose key is no longer in force.
 void closeAbandoned(statement_core &Core, transaction_table &Table,
                     base::instant Now);
 
--- a/packages/data/src/caller_message.cpp
+++ b/packages/data/src/caller_message.cpp
@@ -24,14 +24,15 @@
   return {errc::BadRequest, std::move(Detail)};
 }
 
-/// Words that begin statements which would end or leave the transaction that
-/// carries the request's record, or change the connection for the next user.
+/// First words of statements that would end or leave the transaction which
+/// contains the request's record, or change the connection's state for its next
+/// user.
 constexpr std::array<std::string_view, 11> ForbiddenWords{
     "begin", "commit", "end",    "rollback", "savepoint", "release",
     "start", "attach", "detach", "pragma",   "vacuum"};
 
-/// \p Sql without the white space, comments and semicolons before its first
-/// word, behind which a forbidden word could hide.
+/// \p Sql without the white space, comments and semicolons that precede its
+/// first word and could hide a forbidden word.
 std::string_view withoutLeadingComments(std::string_view Sql) {
   while (!Sql.empty()) {
     if (Sql.starts_with("--")) {
@@ -74,7 +75,7 @@
   return {};
 }
 
-/// Reads fields of one JSON object and remembers the first fault.
+/// Reads fields of one JSON object and keeps the first error.
 struct field_reader {
   const json::object &Object;
   std::optional<failure> FirstError;
@@ -93,7 +94,7 @@
       (!Required || !Value->get_string().empty()))
     return std::string(Value->get_string());
   if (Value != nullptr || Required)
-    Reader.fail(Name, "a text that is not empty");
+    Reader.fail(Name, "a non-empty string");
   return {};
 }
 
@@ -117,7 +118,7 @@
     return {};
   if (!Value->is_array() ||
       !std::ranges::all_of(Value->get_array(), isParameter)) {
-    Reader.fail("params", "a list of null, numbers and texts");
+    Reader.fail("params", "a list of nulls, numbers and strings");
     return {};
   }
   return Value->get_array();
--- a/packages/data/src/caller_server.cpp
+++ b/packages/data/src/caller_server.cpp
@@ -33,25 +33,26 @@
   return serveOutcome(Core, std::move(Call));
 }
 
-/// How a path counts against the customer's rate.
+/// How a request is charged to the customer's rate limit.
 enum class rate_charge {
   NotCharged,
-  /// It may wait for the rate until its deadline.
+  /// May wait for a token until the request's deadline.
   ChargedWithWait,
-  /// It belongs to an open transaction, whose locks others wait for: without a
-  /// token in a moment the transaction is rolled back.
+  /// Belongs to an open transaction that may hold locks others wait for:
+  /// without a token within a short time the transaction is rolled back.
   ChargedBriefly,
 };
 
-/// Time for a token that is within the rate to come from its giver.
+/// Time to receive a token that the rate allows from the instance that
+/// allocates them.
 constexpr base::milliseconds BriefAdmissionWait{50};
 
-/// What a path needs and who serves it.
+/// A path, the fields it requires and its handler.
 struct path_handler {
   std::string_view Target;
   caller_fields Needed;
   path_function Serve = nullptr;
-  /// It may go on while the instance drains.
+  /// Still served while the instance drains.
   bool WhileDraining = false;
   rate_charge Charge = rate_charge::NotCharged;
 };
@@ -83,8 +84,8 @@
      .Serve = serveOutcomeQuery},
 });
 
-/// Finds the customer by the key. Asked for each request, so that a withdrawal
-/// reaches connections that were opened before it.
+/// Finds the customer of the key. Done for each request, so that a withdrawal
+/// also affects open connections.
 result<call> authenticate(const statement_core &Core,
                           std::string_view Authorization) {
   if (!Core.Ports.MayServe())
@@ -118,7 +119,7 @@
   Call.Session = Session.value_or(session_state{});
 }
 
-/// Fills in what the configuration says of the service and the read.
+/// Sets the group and maximum age from the configured service and read.
 result<void> resolveService(const statement_core &Core, call &Call) {
   const control::configuration &Configuration = Core.Ports.Configuration();
   const caller_request &Request = Call.Request;
--- a/packages/data/src/confirm.cpp
+++ b/packages/data/src/confirm.cpp
@@ -23,9 +23,9 @@
 
 bool holds(const confirm_state &State, const confirm_member &Member,
            const confirm_waiter &Waiter) {
-  // A replica of another term may have dropped the entry or hold another one
-  // at this position; its number alone would acknowledge a write that the next
-  // primary lacks.
+  // A replica in another term may have dropped the entry or hold a different
+  // one at this position. Its position alone would acknowledge a write that the
+  // next primary does not have.
   if (Member.Term != Waiter.Term && State.Parameters.CheckTerm)
     return false;
   return Member.Position >= Waiter.Position;
@@ -35,13 +35,13 @@
                const confirm_waiter &Waiter) {
   if (Waiter.Kind == confirm_kind::Replicated || !State.Parameters.CheckCurrent)
     return true;
-  // A replaced primary still answers reads from its old data. An answer that
-  // was asked for after the request arrived shows that no majority had been
-  // sealed by then, so no later write had been acknowledged elsewhere.
+  // A replaced primary still answers reads with its old data. An answer to a
+  // query sent after the request arrived shows that no majority was sealed by
+  // then, so no later write had been acknowledged elsewhere.
   return Member.Term == Waiter.Term && Member.CurrentAt >= Waiter.Arrived;
 }
 
-/// Replicas besides the primary that must agree.
+/// Number of replicas, besides the primary, that must agree.
 std::size_t replicasNeeded(const confirm_state &State) {
   if (!State.Parameters.CheckMajority || State.Members.empty())
     return 0;
@@ -80,9 +80,9 @@
   std::erase_if(State.Waiters, IsOver);
 }
 
-/// The lowest position that a waiter still needs from \p Member. The lowest,
-/// so that the first waiter is not kept back by later ones; the answer tells
-/// all that was received and so serves those too.
+/// The waiter with the lowest position that \p Member has not confirmed.
+/// Querying the lowest does not delay the first waiter for later ones; the
+/// answer reports everything that was received and so serves those too.
 std::optional<confirm_waiter> lowestMissing(const confirm_state &State,
                                             const confirm_member &Member) {
   auto Needing = State.Waiters | std::views::filter([&](const auto &Waiter) {
@@ -149,8 +149,8 @@
     Member.Position = 0;
     Member.CurrentAt = AskedAt;
   }
-  // Within one term a replica never gives back what it received, so an answer
-  // that crossed a later one changes nothing.
+  // Within one term a replica never drops what it received, so an answer that
+  // arrives out of order changes nothing.
   Member.Position = std::max(Member.Position, Answer.Received);
   Member.CurrentAt = std::max(Member.CurrentAt, AskedAt);
 }
@@ -158,9 +158,9 @@
 } // namespace
 
 bool confirmsTerm(const endpoint_state &State, base::term_number Term) {
-  // A replica that was just told to follow may still carry entries of a lost
-  // branch; it drops them when it takes over the primary's history. Only then
-  // do its positions mean what the primary's mean.
+  // A replica that was just told to follow may still have entries of a lost
+  // branch, until it takes over the primary's history. Only then are its
+  // positions comparable with the primary's.
   const bool HasHistory =
       std::ranges::find(State.History, Term, &history_row::Term) !=
       State.History.end();
--- a/packages/data/src/connection_pool.cpp
+++ b/packages/data/src/connection_pool.cpp
@@ -47,7 +47,7 @@
     co_return std::move(Connection);
   }
 
-  /// Opens one more connection, for whoever waits longest.
+  /// Opens one more connection for the request that has waited longest.
   base::task<void> openOne() {
     const auto Self = shared_from_this();
     ++Open;
@@ -63,15 +63,16 @@
 
   void startOpening() { asio::co_spawn(Executor, openOne(), asio::detached); }
 
-  /// Opens one connection ahead of need: a new one costs many times a request.
-  /// The last connection is left to those who need one now.
+  /// Opens one connection ahead of demand, since opening one takes many times
+  /// as long as a request. The last connection is kept for requests that need
+  /// it now.
   void openSpare() {
     if (Idle.empty() && Opening == 0 && Open + 1 < Limit && !Closed)
       startOpening();
   }
 
-  /// Waits until something about the connections changed. Fails when opening
-  /// one failed, and at \p Deadline.
+  /// Waits until the connections changed. Fails when opening a connection
+  /// failed, and at \p Deadline.
   base::task<result<void>> awaitChange(base::instant Deadline) {
     const auto Self = shared_from_this();
     waiter Waiter{asio::steady_timer(Executor), {}};
@@ -99,7 +100,8 @@
 
   struct waiter {
     asio::steady_timer Timer;
-    /// Why no connection could be opened; no error: look again.
+    /// Why no connection could be opened; without an error the waiter checks
+    /// again.
     failure Failure;
   };
 
@@ -108,7 +110,7 @@
   control::endpoint Endpoint;
   std::size_t Limit;
   std::size_t Open = 0;
-  /// Connections being opened; they count in Open.
+  /// Connections being opened; included in Open.
   std::size_t Opening = 0;
   bool Closed = false;
   std::vector<connection_handle> Idle;
@@ -129,7 +131,7 @@
 base::task<result<connection_handle>>
 connection_pool::acquire(base::instant Deadline) {
   const auto Pool = State;
-  // A connection that comes back before the new one is open is taken instead.
+  // A connection that is released before the new one is open is used instead.
   while (Pool->Idle.empty()) {
     if (Pool->Closed)
       co_return failure(errc::ConnectionLimit, Pool->Endpoint.Name);
--- a/packages/data/src/detector.cpp
+++ b/packages/data/src/detector.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 /// The highest position that enough replicas for a majority have received in
-/// the term of the view; zero when too few follow it.
+/// the view's term; zero when too few replicas follow it.
 base::log_position receivedByMajority(const group_view &View) {
   std::vector<base::log_position> Positions;
   for (const member_view &Member : View.Members)
@@ -27,8 +27,8 @@
   return View.Primary ? findMember(View, *View.Primary) : nullptr;
 }
 
-/// What the primary of the highest term last told; null when there is none or
-/// when it has since said that it is not.
+/// Last state of the primary of the highest term; null when there is no primary
+/// or it has since reported that it no longer is.
 const endpoint_state *primaryState(const group_view &View) {
   const member_view *Member = primaryOf(View);
   if (Member == nullptr || !Member->State)
@@ -39,8 +39,8 @@
   return IsCurrentPrimary ? &State : nullptr;
 }
 
-/// Whether a majority of the members, the primary left out, answers: without
-/// them a promotion could not do better.
+/// Whether a majority of the members answers without the primary; otherwise a
+/// promotion would not help.
 bool majorityWithoutPrimaryAnswers(const group_view &View) {
   const auto Answering =
       std::ranges::count_if(View.Members, [&](const member_view &Member) {
--- a/packages/data/src/dispatcher.cpp
+++ b/packages/data/src/dispatcher.cpp
@@ -25,7 +25,8 @@
                                                    base::instant Deadline) {
   if (Queue.Size == 0 && hasRoom(Window)) {
     startRequest(Window);
-    // An account exists from the first request on, so that charge finds it.
+    // Creates the customer's queue with its first request, so that charge finds
+    // it.
     Queue.Customers.try_emplace(std::move(Customer));
     co_return base::result<void>();
   }
@@ -46,7 +47,7 @@
     co_return base::result<void>();
   cancel(Queue, Ticket);
   co_return base::failure(base::errc::DeadlinePassed,
-                          "waiting for " + Endpoint.Name);
+                          "waiting to run at " + Endpoint.Name);
 }
 
 void dispatcher::release(std::string_view Customer,
--- a/packages/data/src/endpoint.cpp
+++ b/packages/data/src/endpoint.cpp
@@ -20,7 +20,7 @@
     {endpoint_role::Sealed, "sealed"},
 });
 
-/// What each refusal means for the caller.
+/// Maps a refusal's name in the protocol to the caller's error.
 struct refusal_row {
   refusal Value;
   std::string_view Name;
@@ -94,7 +94,7 @@
   return {{"name", Member.Name}, {"address", http::toText(Member.Address)}};
 }
 
-/// The body of \p Response, or nothing when it is not a JSON object.
+/// The body of \p Response; empty when it is not a JSON object.
 std::optional<json::object> bodyOf(const http::response &Response) {
   boost::system::error_code Error;
   json::value Value = json::parse(Response.Body, Error);
@@ -136,7 +136,8 @@
   run_result Result;
   std::optional<json::object> Body = bodyOf(Response);
   if (!Body) {
-    Result.Failed.Failure = failure(errc::TruncatedAnswer, "not JSON");
+    Result.Failed.Failure =
+        failure(errc::TruncatedAnswer, "the answer is not a JSON object");
     return Result;
   }
   if (Response.Status != StatusOk) {
@@ -146,7 +147,8 @@
   json::value *Results = Body->if_contains("results");
   std::optional<endpoint_state> State = stateOf(*Body);
   if (Results == nullptr || !Results->is_array() || !State) {
-    Result.Failed.Failure = failure(errc::TruncatedAnswer, "parts are missing");
+    Result.Failed.Failure =
+        failure(errc::TruncatedAnswer, "results or state are missing");
     return Result;
   }
   run_answer Answer;
@@ -169,7 +171,7 @@
     co_return Response.error();
   const std::optional<json::object> Body = bodyOf(*Response);
   if (!Body)
-    co_return failure(errc::TruncatedAnswer, "not JSON");
+    co_return failure(errc::TruncatedAnswer, "the answer is not a JSON object");
   if (Response->Status == StatusRefused)
     co_return refusalOf(*Body).Failure;
   std::optional<endpoint_state> State = stateOf(*Body);
--- a/packages/data/src/failover.cpp
+++ b/packages/data/src/failover.cpp
@@ -50,14 +50,14 @@
     if (State.Name != Suspected)
       Others.push_back(&State);
   }
-  // A primary that is cut off from its replicas has the longest log, by
-  // entries that nobody acknowledged. Chosen again, it would still be cut off.
-  // Every acknowledged write is also on a majority without it, so it can be
-  // left out whenever the others are a majority.
+  // A primary that is cut off from its replicas has the longest log, with
+  // entries that were never acknowledged. If it were promoted again, it would
+  // still be cut off. Every acknowledged write is also on a majority without
+  // it, so it can be left out whenever the others are a majority.
   return Others.size() >= majorityOf(Members) ? Others : All;
 }
 
-/// The address of \p Member, null when it is not known.
+/// The address of \p Member, null when unknown.
 const endpoint_address *
 addressOf(const std::vector<endpoint_address> &Addresses,
           std::string_view Member) {
@@ -102,7 +102,7 @@
   boost::system::error_code Error;
   const json::value Value = json::parse(Text, Error);
   if (Error || !Value.is_object())
-    return failure(errc::BadMessage, "failover record");
+    return failure(errc::BadMessage, "malformed failover record");
   const json::object &Object = Value.get_object();
   const auto TextOf = [&](std::string_view Name) {
     const json::value *Field = Object.if_contains(Name);
@@ -113,7 +113,7 @@
   const json::value *Term = Object.if_contains("term");
   const auto State = base::valueOf(RecordStates, TextOf("state"));
   if (Term == nullptr || !Term->is_number() || !State)
-    return failure(errc::BadMessage, "failover record");
+    return failure(errc::BadMessage, "malformed failover record");
   failover_record Record;
   Record.Term = Term->to_number<base::term_number>(Error);
   Record.Order = TextOf("order");
@@ -124,8 +124,8 @@
 }
 
 base::term_number lastEntryTerm(const endpoint_state &State) {
-  // A row that starts at the end of the log has no entry yet: the member took
-  // over a term's history but none of its entries.
+  // A history row that starts at the end of the log has no entries yet: the
+  // member took over a term's history but none of its entries.
   base::term_number Last = 0;
   for (const history_row &Row : State.History)
     if (Row.Start < State.Received)
@@ -140,8 +140,8 @@
   const auto Candidates = candidatesOf(Sealed, Members, Suspected);
   const auto Ahead = [&](const endpoint_state *Left,
                          const endpoint_state *Right) {
-    // Every acknowledged write is on a majority and so on at least one sealed
-    // member; the most advanced log holds them all.
+    // Every acknowledged write is on a majority and therefore on at least one
+    // sealed member; the most advanced log contains them all.
     if (Parameters.ChooseMostAdvanced)
       return isAhead(*Left, *Right);
     return isAhead(*Right, *Left);
@@ -157,9 +157,9 @@
     Watch = {Row.Version, Now};
   if (!Row.Record)
     return true;
-  // A higher term than the view's, also when it is done, means that the
-  // suspicion is about a primary that was already replaced: a claim on top
-  // would stop the new primary as soon as it began.
+  // If the record's term is higher than the view's, even if it is done, the
+  // suspected primary was already replaced: another claim would stop the new
+  // primary as soon as it started.
   const bool SameTerm = Row.Record->Term == View.Term;
   const bool Settled =
       Row.Record->Term < View.Term || (SameTerm && View.Primary);
--- a/packages/data/src/failover_machine.cpp
+++ b/packages/data/src/failover_machine.cpp
@@ -1,4 +1,4 @@
-// The table below has more rows than the library's default limit.
+// The transition table has more rows than the library's default limit.
 #define BOOST_MPL_CFG_NO_PREPROCESSED_HEADERS
 #define BOOST_MPL_LIMIT_VECTOR_SIZE 30
 #define BOOST_MPL_LIMIT_LIST_SIZE 30
@@ -57,8 +57,8 @@
     return;
   const endpoint_state &State = *Event.State;
   const bool Ours = State.Term == Order.Term && State.Order == Order.Plan.Order;
-  // Whoever is in a higher term, or in this one by another order, shows that
-  // this order is not the one in force.
+  // A member in a higher term, or in this term by another order, shows that
+  // this order is no longer in force.
   Order.Refused |= State.Term >= Order.Term && !Ours;
   if (!Ours)
     return;
@@ -73,8 +73,9 @@
 /// @}
 
 std::size_t sealedNeeded(const failover_order &Order) {
-  // With fewer than a majority sealed, an acknowledged write can be on the
-  // others only, and the old primary can go on acknowledging with them.
+  // If less than a majority is sealed, an acknowledged write may be only on the
+  // unsealed members, and the old primary may go on acknowledging writes with
+  // them.
   return Order.Parameters.SealMajority ? majorityOf(Order.Plan.Members.size())
                                        : 1;
 }
@@ -111,8 +112,9 @@
 }
 
 bool isTaken(const failover_order &Order) {
-  // An answer can be lost after the change took effect, and a commit whose
-  // answer was lost can still take effect later. Only the row itself tells.
+  // The answer of a commit can be lost after the commit was stored, and a
+  // commit without an answer can still be stored later. Only the row shows
+  // which.
   return Order.Commit == commit_outcome::Taken ||
          (Order.Commit == commit_outcome::Unknown &&
           !Order.Parameters.ReadBackOwnOrder);
@@ -144,8 +146,8 @@
   const base::term_number Claimed = Row.Record ? Row.Record->Term : 0;
   Order.Term = std::max(Claimed, Order.Plan.SeenTerm) + 1;
   Order.CommitOpen = true;
-  // The check makes one order the winner of a term: two instances that read
-  // the same row cannot both change it.
+  // The version check lets only one order win a term: of two instances that
+  // read the same row, only one can change it.
   std::optional<std::uint64_t> Check;
   if (Order.Parameters.ConditionalClaim)
     Check = Row.Version;
@@ -178,7 +180,8 @@
 }
 
 void choose(failover_order &Order, commands &Out) {
-  // Chosen once: a second choice in the same term could make two primaries.
+  // Chosen only once: a second choice in the same term could result in two
+  // primaries.
   Order.Chosen = chooseMember(Order.Sealed, Order.Plan.Members.size(),
                               Order.Plan.Suspected, Order.Parameters)
                      .Name;
@@ -190,7 +193,8 @@
   if (Order.CommitOpen)
     return;
   Order.CommitOpen = true;
-  // Only over this order's own claim: a later order is not overwritten.
+  // Checked against the version of this order's claim, so that a later order is
+  // not overwritten.
   Out.emplace_back(
       commit_row{Order.OwnVersion, recordOf(Order, record_state::Done)});
 }
@@ -316,7 +320,7 @@
   > {};
   // clang-format on
 
-  /// Late answers, which the state no longer waits for, change nothing.
+  /// Late answers that the current state does not expect are ignored.
   template <typename Machine, typename Event>
   void no_transition(const Event &, Machine &, int) {}
 };
--- a/packages/data/src/fair_queue.cpp
+++ b/packages/data/src/fair_queue.cpp
@@ -5,10 +5,10 @@
 namespace redwinggw::data {
 namespace {
 
-/// A customer may be overdrawn by so many turns at most: one very slow
-/// statement must not shut it out for long.
+/// Limits a customer's negative deficit to this many quanta, so that one very
+/// slow statement does not block the customer for long.
 constexpr int MaxDebtQuanta = 20;
-/// Weight of the last request in the smoothed cost is 1/CostWeight.
+/// Weight of the latest request in the smoothed cost is 1/CostWeight.
 constexpr int CostWeight = 8;
 constexpr base::milliseconds SmallestRetryAfter{10};
 
@@ -33,8 +33,9 @@
 void deactivate(fair_queue &Queue, const base::customer_name &Name) {
   std::erase(Queue.ActiveCustomers, Name);
   customer_queue &Own = Queue.Customers.at(Name);
-  // Unused time does not add up while a customer has nothing to run; a debt
-  // stays, or a customer could shed it by pausing for one request.
+  // Unused slot time does not accumulate while a customer has no requests. A
+  // negative deficit stays: otherwise a customer could clear it by pausing for
+  // one request.
   Own.Deficit = std::min(Own.Deficit, base::microseconds(0));
 }
 
--- a/packages/data/src/group_failover.cpp
+++ b/packages/data/src/group_failover.cpp
@@ -16,12 +16,13 @@
 
 constexpr base::milliseconds SuperviseInterval{25};
 constexpr base::milliseconds ReconcileInterval{100};
-/// Between two looks at the row, so that waiting instances spare the store.
+/// Pause between two reads of the row, so that waiting instances do not load
+/// the store.
 constexpr base::milliseconds RetryPause{100};
-/// Lines about a store that is down come at most so often for each group.
+/// An unavailable store is logged at most this often per group.
 constexpr base::milliseconds StoreLogInterval{5000};
 
-/// One order while it runs; shared by the coroutines of its commands.
+/// A running failover order, shared by the coroutines of its commands.
 struct running_order {
   state_pointer State;
   base::group_name Group;
@@ -87,7 +88,7 @@
   process(Order, Answer);
 }
 
-/// Takes in a member's answer to an order, for the view and the machine.
+/// Passes a member's answer to the view and to the state machine.
 void handleAnswer(const order_pointer &Order, const base::endpoint_name &Member,
                   member_request Request,
                   const base::result<endpoint_state> &Answer,
@@ -108,7 +109,7 @@
   const state_pointer State = Order->State;
   const base::instant AskedAt = base::now();
   const base::instant Deadline = AskedAt + State->Options.PollTimeout;
-  // A fresh connection: an old one can be silent for good.
+  // A new connection, since an old one may be dead without an error.
   http::client Client(State->Executor);
   base::result<endpoint_state> Answer = base::failure(errc::Internal);
   const auto Connected =
@@ -190,8 +191,8 @@
   return Plan;
 }
 
-/// Whether the order should stop because the primary is back before the claim
-/// was taken.
+/// Whether the order should stop because the primary recovered before the claim
+/// was stored.
 bool isObsolete(const order_pointer &Order) {
   const failover_step Step = Order->Machine.step();
   const bool Early =
@@ -226,9 +227,10 @@
       "promotion until it does. Check the platform's table service.");
 }
 
-/// Reads the row and, if nobody else is at it, orders a failover.
+/// Reads the row and orders a failover unless another instance is doing so.
 base::task<void> tryOrder(state_pointer State, base::group_name Name) {
-  // Spread, so that the first claim is seen by the others before they read.
+  // Random delay, so that the other instances see the first claim when they
+  // read.
   const base::milliseconds Jitter(State->Random() %
                                   State->Options.Jitter.count());
   co_await pauseFor(State->Executor, Jitter);
--- a/packages/data/src/group_poll.cpp
+++ b/packages/data/src/group_poll.cpp
@@ -38,7 +38,7 @@
   observeGroup(Group->Detector, Group->View, base::now());
 }
 
-/// Sends one question of the coalescer.
+/// Sends one confirmation query.
 base::task<void> queryReplica(state_pointer State, base::group_name Name,
                               confirm_query Query) {
   if (Query.Delayed)
@@ -50,8 +50,8 @@
     co_return;
   const http::address Address = Endpoint->Address;
   const std::pair Key(Query.Member, Query.QueryKind);
-  // Taken out while in use, so that a member that leaves and comes back in the
-  // meantime gets a connection of its own.
+  // Removed from the map while in use, so that a member that is removed and
+  // added again meanwhile gets its own connection.
   auto Node = Group->QueryClients.extract(Key);
   http::client Client =
       Node.empty() ? http::client(State->Executor) : std::move(Node.mapped());
@@ -109,8 +109,8 @@
       co_return Connected.error();
   }
   auto Answer = co_await status(Client, Request, State->Instance, Deadline);
-  // A connection can go silent for good while new ones work, so the question
-  // after a failure goes over a fresh one.
+  // A connection may be dead without an error while new ones work, so the query
+  // after a failure uses a new connection.
   if (!Answer)
     Client.close();
   co_return Answer;
--- a/packages/data/src/group_service.cpp
+++ b/packages/data/src/group_service.cpp
@@ -64,7 +64,7 @@
 }
 
 group_service::~group_service() {
-  // Coroutines that still run find no group and end.
+  // Running coroutines find no group and end.
   State->Groups.clear();
   State->Draining = true;
 }
@@ -114,7 +114,8 @@
     dropWaiter(Still->Confirm, Waiter.Id);
   }
   if (!Outcome)
-    co_return failure(errc::DeadlinePassed, "no confirmation of " + Group);
+    co_return failure(errc::DeadlinePassed,
+                      "no confirmation by a majority of group " + Group);
   co_return *Outcome;
 }
 
--- a/packages/data/src/group_state.hpp
+++ b/packages/data/src/group_state.hpp
@@ -12,10 +12,10 @@
 #include <string>
 #include <utility>
 
-/// What stands behind group_service, shared by its source files.
+/// Internal state of group_service, shared by its source files.
 namespace redwinggw::data {
 
-/// Wakes one waiting coroutine.
+/// A coroutine that waits for an outcome.
 struct pending_wait {
   explicit pending_wait(const boost::asio::any_io_executor &Executor)
       : Timer(Executor) {}
@@ -23,25 +23,26 @@
   std::optional<base::result<void>> Outcome;
 };
 
-/// One group as its watcher keeps it.
+/// State of one monitored group.
 struct watched_group {
   group_view View;
   confirm_state Confirm;
   detector_state Detector;
   row_watch Watch;
-  /// An order of this instance runs or is being prepared.
+  /// This instance runs or prepares a failover order.
   bool OrderActive = false;
   base::instant ReconciledAt;
-  /// Last line about a store that is down.
+  /// When an unavailable store was last logged.
   base::instant StoreLoggedAt;
-  /// Requests that wait for a confirmation, by the id of their waiter.
+  /// Requests that wait for a confirmation, by the id of their waiter in
+  /// Confirm.
   std::map<std::uint64_t, std::shared_ptr<pending_wait>> ConfirmationWaits;
   /// Requests that wait for a primary.
   std::vector<std::shared_ptr<pending_wait>> PrimaryWaits;
-  /// Connections for questions of the coalescer, while they are idle.
+  /// Idle connections for confirmation queries.
   std::map<std::pair<base::endpoint_name, confirm_query_kind>, http::client>
       QueryClients;
-  /// Members that a coroutine polls.
+  /// Members that have a polling coroutine.
   std::set<std::pair<base::endpoint_name, http::address>> Polled;
 };
 
@@ -53,41 +54,42 @@
   std::map<base::group_name, watched_group, std::less<>> Groups;
   std::vector<std::function<void(const base::group_name &)>> Hooks;
   std::function<std::vector<peer_report>()> Peers;
-  /// Source of the jitter.
+  /// Random source of the jitter.
   std::mt19937 Random{std::random_device{}()};
   bool Started = false;
   bool Draining = false;
 };
 
-/// Coroutines hold the state by this, so that it outlives the service.
+/// Keeps the state alive in coroutines that outlive the service.
 using state_pointer = std::shared_ptr<group_service_state>;
 
-/// The group called \p Name, null when the configuration has none.
+/// The group named \p Name, null when the configuration has none.
 watched_group *findGroup(group_service_state &State, std::string_view Name);
 
-/// Whether the group has a primary that is not suspected.
+/// Whether the group has a primary that this instance does not suspect.
 bool hasPrimary(const group_service_state &State, const watched_group &Group);
 
-/// Takes in a state that a member told, and acts on what changed.
+/// Updates the group with a state that a member reported, then wakes waiting
+/// requests and calls the change hooks as needed.
 void applyState(const state_pointer &State, const base::group_name &Group,
                 const endpoint_state &Reported,
                 std::optional<confirm_query_kind> QueryKind,
                 base::instant AskedAt);
 
-/// Ends the waits and sends the questions that \p Actions name.
+/// Wakes the finished waiters and sends the queries in \p Actions.
 void perform(const state_pointer &State, const base::group_name &Group,
              confirm_actions Actions);
 
-/// Sends \p Request on \p Client, over a new connection when it has none.
+/// Sends \p Request on \p Client; connects first if necessary.
 base::task<base::result<endpoint_state>>
 queryStatus(state_pointer State, http::client &Client, http::address Address,
             status_request Request, base::instant Deadline);
 
-/// Polls one member until it leaves the configuration.
+/// Polls one member until it is removed from the configuration.
 base::task<void> pollMember(state_pointer State, base::group_name Group,
                             control::endpoint Endpoint);
 
-/// Looks after the failovers of all groups until the service drains.
+/// Supervises the failovers of all groups until the service drains.
 base::task<void> superviseGroups(state_pointer State);
 
 /// Pauses the calling coroutine.
--- a/packages/data/src/group_view.cpp
+++ b/packages/data/src/group_view.cpp
@@ -6,14 +6,15 @@
 namespace redwinggw::data {
 namespace {
 
-/// Samples kept: at one a status answer they cover well over the largest age
-/// that a sheet may declare for lagging replicas to be of use.
+/// Number of samples kept. With one sample per status answer they cover well
+/// over the largest age that a sheet may declare for lagging replicas to be
+/// useful.
 constexpr std::size_t MaxSamples = 4096;
 
 void addSample(group_view &View, base::log_position Position,
                base::instant At) {
-  // Answers cross: a sample that is older than the last one, in time or in
-  // position, would break the order that ageOf relies on.
+  // Answers may arrive out of order: a sample with an earlier time or lower
+  // position than the last one would break the order that ageOf relies on.
   if (!View.Samples.empty() &&
       (View.Samples.back().At >= At || View.Samples.back().Position > Position))
     return;
@@ -25,14 +26,15 @@
 void enterTerm(group_view &View, base::term_number Term) {
   View.Term = Term;
   View.Primary.reset();
-  // Positions of the old branch say nothing of the new one.
+  // Positions on the old branch are not comparable with the new one.
   View.Samples.clear();
 }
 
-/// Whether a lower term than the member told before is no late answer but that
-/// of a member that came back without its state. Ignored, it would be left
-/// without a primary to follow for good. A restart closes its connections, so
-/// a failure lies between the two answers.
+/// Whether a state with a lower term than the member's last one comes from a
+/// member that restarted without its state, rather than from a late answer. If
+/// it were ignored, the member would never be told which primary to follow. A
+/// restart closes the member's connections, so a failure lies between the two
+/// answers.
 bool hasRestarted(const member_view &Member, base::instant AskedAt) {
   return Member.Failures > 0 && AskedAt > Member.FailingSince &&
          AskedAt > Member.AskedAt;
@@ -88,8 +90,8 @@
 
 std::optional<base::microseconds>
 ageOf(const group_view &View, base::log_position Applied, base::instant Now) {
-  // The last sample that the position covers: all that was committed before
-  // the sample was asked for is within it.
+  // The last sample that the position covers: everything committed before that
+  // sample's request was sent is included.
   const auto Above = std::ranges::upper_bound(View.Samples, Applied, {},
                                               &primary_sample::Position);
   if (Above == View.Samples.begin())
--- a/packages/data/src/pinned_connection.cpp
+++ b/packages/data/src/pinned_connection.cpp
@@ -27,8 +27,8 @@
   co_return base::result<void>();
 }
 
-/// The first run waits in the queue as any request does. Later ones go ahead:
-/// the requests that run may be waiting for this transaction's locks.
+/// The first run waits in the queue like any request. Later runs skip the
+/// queue, because the running requests may wait for this transaction's locks.
 base::task<base::result<void>> acquireSlot(const pinned_connection &Pinned,
                                            const call &Call) {
   dispatcher &Target = *Pinned.Target;
@@ -38,7 +38,8 @@
   }
   if (!Target.mayPin())
     co_return base::failure(base::errc::Overloaded,
-                            "open transactions at " + Target.endpoint().Name,
+                            "too many open transactions at " +
+                                Target.endpoint().Name,
                             PinRetryAfter);
   co_return co_await Target.acquire(Call.Customer, Call.Deadline);
 }
--- a/packages/data/src/read_path.cpp
+++ b/packages/data/src/read_path.cpp
@@ -59,7 +59,7 @@
 result<caller_answer> toCallerAnswer(run_answer Answer, std::string Session,
                                      std::string_view ServedBy) {
   if (Answer.Results.empty())
-    return failure(errc::TruncatedAnswer, "no result");
+    return failure(errc::TruncatedAnswer, "the answer contains no result");
   caller_answer Delivered;
   Delivered.Result = std::move(Answer.Results.back());
   Delivered.Session = std::move(Session);
@@ -67,7 +67,7 @@
   return Delivered;
 }
 
-/// One try at a replica; nothing when the primary has to serve the read.
+/// Tries a replica; empty when the primary has to serve the read.
 base::task<std::optional<result<caller_answer>>>
 tryReplica(statement_core &Core, call &Call) {
   const group_view *View = Core.Ports.View(Call.Group);
@@ -111,10 +111,10 @@
                            "replica");
 }
 
-/// One try at the primary. The answer counts only once a majority has
-/// confirmed, after the request arrived, that the term still stands and that
-/// it holds all that the read saw: a primary that was replaced while cut off
-/// would otherwise answer with data that is stale or about to be dropped.
+/// Tries the primary. The answer is only used once a majority has confirmed,
+/// after the request arrived, that the term is still in force and that it holds
+/// everything the read saw. Otherwise a primary that was replaced while cut off
+/// could answer with data that is stale or about to be dropped.
 base::task<result<caller_answer>> tryPrimary(statement_core &Core, call &Call) {
   const auto View = co_await awaitPrimary(Core, Call);
   if (!View)
@@ -123,7 +123,7 @@
   const std::shared_ptr<dispatcher> Target = primaryOf(Core, **View);
   run_request Request = runOf(Call);
   Request.ExpectTerm = Term;
-  // Both begin after the request arrived, so that they may run side by side.
+  // Both start after the request arrived, so they may run concurrently.
   auto [Ran, Current] =
       co_await (runAt(Core, Target, Call, std::move(Request)) &&
                 Core.Ports.Confirm(Call.Group, Term, 0, Call.Deadline,
@@ -142,7 +142,7 @@
                            "primary");
 }
 
-/// A read that got no answer has had no effect, whatever happened to it.
+/// A read without an answer has had no effect, whatever the failure.
 failure asNotRun(const failure &Failure) {
   if (retryKindOf(Failure) != retry_kind::SameId)
     return Failure;
--- a/packages/data/src/record_retention.cpp
+++ b/packages/data/src/record_retention.cpp
@@ -5,8 +5,8 @@
 namespace redwinggw::data {
 namespace {
 
-/// Account under which the instance's own statements queue. The sheet allows
-/// no empty name, so no customer shares it.
+/// Customer name under which the instance's own statements queue. The sheet
+/// does not allow empty names, so no customer shares it.
 const base::customer_name OwnAccount;
 constexpr base::milliseconds CleaningDeadline{5000};
 
@@ -27,7 +27,7 @@
   const run_result Ran = co_await runAt(Core, Target, Call, std::move(Request));
   if (!Ran.Answer && !isMissingTable(Ran.Failed.Failure))
     base::log(base::log_level::Warning, base::log_part::Endpoints,
-              "Old records of group " + Group +
+              "Expired request records of group " + Group +
                   " were not deleted: " + base::describe(Ran.Failed.Failure));
 }
 
--- a/packages/data/src/request_record.cpp
+++ b/packages/data/src/request_record.cpp
@@ -11,10 +11,11 @@
 using base::errc;
 using base::failure;
 
-/// Records outlive the retention by the clocks' largest disagreement, so that
-/// no instance deletes what another would still accept.
+/// Records are kept longer than the retention by the largest clock difference
+/// between instances, so that no instance deletes a record that another would
+/// still accept.
 constexpr std::int64_t ClockMargin = 60LL * 60 * 1000;
-/// A caller's clock may be ahead by so much.
+/// Tolerance for a caller's clock that is ahead.
 constexpr std::int64_t FutureMargin = 5LL * 60 * 1000;
 constexpr int DeleteBatch = 1000;
 
@@ -25,15 +26,15 @@
 
 base::result<void> checkAge(std::int64_t IssuedAt, std::int64_t WallNow) {
   if (IssuedAt > WallNow + FutureMargin)
-    return failure(errc::BadRequest, "issued_at lies in the future");
+    return failure(errc::BadRequest, "issued_at is in the future");
   if (WallNow - IssuedAt > RecordRetention.count())
-    return failure(errc::RequestExpired, "issued_at is over 24 hours ago");
+    return failure(errc::RequestExpired, "issued_at is more than 24 hours ago");
   return {};
 }
 
 std::string requestDigest(const std::vector<std::string> &Parts) {
-  // Each part goes in with its length: otherwise two different requests could
-  // run together to the same text.
+  // Each part is preceded by its length; otherwise different requests could be
+  // concatenated to the same text.
   std::string All;
   for (const std::string &Part : Parts)
     All.append(std::to_string(Part.size())).append(":").append(Part);
--- a/packages/data/src/routing.cpp
+++ b/packages/data/src/routing.cpp
@@ -7,14 +7,14 @@
 namespace redwinggw::data {
 namespace {
 
-/// Replicas tell their position about every 100 ms; one that is silent for so
-/// long is not a candidate.
+/// Replicas report their position about every 100 ms. One without a report for
+/// this long is not used.
 constexpr base::milliseconds MaxStateAge{1000};
 
-/// Added to an estimated catch-up time, for the ship time and jitter.
+/// Added to the estimated catch-up time, for log shipping and jitter.
 constexpr base::milliseconds CatchUpMargin{5};
 
-/// A replica that may serve, with the state that shows it.
+/// A replica that may serve the read.
 struct candidate {
   const member_view *Member = nullptr;
   base::microseconds Wait{0};
@@ -38,8 +38,8 @@
          !Member.Leaving && Now - Member.AskedAt < MaxStateAge;
 }
 
-/// Time until the replica is expected to hold \p Position: the primary reached
-/// it some time ago, and the replica trails by the age of what it shows.
+/// Estimated time until the replica holds \p Position: the primary reached it
+/// some time ago, and the replica's data lags by its age.
 std::optional<base::microseconds> catchUpTime(const group_view &View,
                                               const member_view &Member,
                                               base::log_position Applied,
@@ -116,8 +116,8 @@
 bool isFreshEnough(const group_view &View, const endpoint_state &AnswerState,
                    base::log_position ReadPosition, const read_request &Read,
                    const routing_settings &Settings, base::instant SentAt) {
-  // A replica of an older term may be on a lost branch; one of a newer term
-  // has a history that this instance has not learned yet.
+  // A replica in an older term may be on a lost branch; one in a newer term has
+  // a history that this instance does not know yet.
   if (AnswerState.Term != View.Term)
     return false;
   const auto Age = ageOf(View, ReadPosition, SentAt);
--- a/packages/data/src/session_token.cpp
+++ b/packages/data/src/session_token.cpp
@@ -18,7 +18,7 @@
 
 namespace {
 
-/// Bytes of the signature kept: 128 bits.
+/// Length of the truncated signature: 128 bits.
 constexpr std::size_t SignatureBytes = 16;
 
 std::string signatureOf(std::string_view FleetKey, std::string_view Customer,
@@ -72,7 +72,7 @@
     cereal::BinaryInputArchive Archive(Stream);
     Archive(Session.Positions);
   } catch (const std::exception &) {
-    // Signed by us but in the form of another release.
+    // Signed by this fleet, but encoded by another release.
     return std::nullopt;
   }
   return Session;
--- a/packages/data/src/slot_window.cpp
+++ b/packages/data/src/slot_window.cpp
@@ -7,9 +7,10 @@
 
 constexpr double ShrinkFactor = 0.85;
 constexpr double SmallestSize = 1;
-/// Queueing below this is noise of the scheduler.
+/// Queueing delay below this is scheduler noise.
 constexpr base::microseconds QueueingTolerance{1000};
-/// The base delay rises slowly, so that a longer path is learned in time.
+/// The base delay rises slowly, so that it adapts to a longer network path in
+/// time.
 constexpr int BaseDelayWeight = 64;
 
 void updateBaseDelay(slot_window &Window, base::microseconds Delay) {
--- a/packages/data/src/statement_core.cpp
+++ b/packages/data/src/statement_core.cpp
@@ -28,7 +28,7 @@
   return std::uniform_real_distribution<>(0, 1)(Core.Random);
 }
 
-/// Whether the endpoint said anything: then the connection is in order.
+/// Whether the endpoint answered at all; if so, the connection still works.
 bool hasAnswered(const run_result &Result) {
   return Result.Answer.has_value() || Result.Failed.Refusal != refusal::None;
 }
@@ -55,9 +55,9 @@
   Target.release(Call.Customer, base::now() - SentAt, Busy);
 }
 
-/// Failures that reached no endpoint. Such a request waits for the group to get
-/// a primary that answers; it adds no load, so it takes nothing from the
-/// budget of repeats.
+/// Failures where no primary accepted the request. Such a request waits until
+/// the group has a primary that answers. It adds no load, so it uses no token
+/// of the retry budget.
 bool hasNoWorkingPrimary(const failure &Failure) {
   switch (kindOf(Failure)) {
   case errc::EndpointUnreachable:
@@ -70,8 +70,8 @@
   }
 }
 
-/// Whether the primary that is known failed a moment ago. A new primary, or
-/// the old one after its pause, is worth a try.
+/// Whether requests to the known primary have just failed. A new primary, or
+/// the old one once its circuit breaker closes again, is worth a try.
 bool isPrimaryFailing(const statement_core &Core, std::string_view Group) {
   const group_view *View = Core.Ports.View(Group);
   const auto Primary = View == nullptr ? nullptr : primaryOf(Core, *View);
--- a/packages/data/src/transaction_table.cpp
+++ b/packages/data/src/transaction_table.cpp
@@ -13,8 +13,8 @@
 
 constexpr base::milliseconds LimitRetryAfter{1000};
 
-/// The open transaction of \p Call. Fails also for one of another customer:
-/// ids are no proof of who asks.
+/// The open transaction of \p Call. Fails if it belongs to another customer,
+/// since knowing the id proves nothing about the caller.
 result<open_transaction *> findTransaction(transaction_table &Table,
                                            const call &Call) {
   const auto Found = Table.Open.find(Call.Request.Transaction);
@@ -27,7 +27,7 @@
   return &Found->second;
 }
 
-/// Copies into \p Call what the transaction was begun with.
+/// Copies the group and session of the transaction's begin into \p Call.
 void copyBeginState(call &Call, const open_transaction &Transaction) {
   Call.Group = Transaction.Group;
   Call.SessionKind = Transaction.SessionKind;
@@ -45,8 +45,8 @@
   Table.Open.erase(Found);
 }
 
-/// Runs in the transaction and marks it busy meanwhile, so that nothing else
-/// closes or uses its connection.
+/// Runs in the transaction and marks it busy, so that nothing else closes or
+/// uses its connection meanwhile.
 base::task<run_result> runMarkedBusy(statement_core &Core,
                                      open_transaction &Transaction, call &Call,
                                      run_request Request) {
@@ -60,8 +60,8 @@
   co_return Ran;
 }
 
-/// A run before the commit that failed leaves nothing: the endpoint rolls
-/// back when the statement fails or when the connection closes.
+/// A run that failed before the commit has no effect: the endpoint rolls back
+/// when the statement fails or the connection closes.
 failure asTransactionLost(const failure &Failure) {
   const bool Known = retryKindOf(Failure) == retry_kind::Never;
   return Known ? Failure : failure(errc::TransactionLost, Failure.Detail);
@@ -80,7 +80,8 @@
 base::task<result<caller_answer>>
 beginTransaction(statement_core &Core, transaction_table &Table, call Call) {
   if (Table.Open.size() >= Table.Limit)
-    co_return failure(errc::Overloaded, "open transactions", LimitRetryAfter);
+    co_return failure(errc::Overloaded, "too many open transactions",
+                      LimitRetryAfter);
   const request_identity Identity = identityOf(Call);
   const bool Writes = Call.Request.Access == access_kind::Write;
   if (Writes)
@@ -109,7 +110,8 @@
     unpin(Core, Transaction.Pinned, false);
     if (isMissingTable(Ran.Failed.Failure))
       co_return failure(errc::EndpointRefused,
-                        "the table of records is missing; write once first");
+                        "the table of request records does not exist; run one "
+                        "write statement first");
     if (Ran.Failed.Refusal != refusal::UniqueKey)
       co_return asTransactionLost(Ran.Failed.Failure);
     const auto Found = co_await readRecord(Core, Call, Identity);
@@ -138,7 +140,8 @@
       co_await runMarkedBusy(Core, **Found, Call, std::move(Request));
   if (!Ran.Answer || Ran.Answer->Results.empty()) {
     const failure Lost = asTransactionLost(Ran.Failed.Failure);
-    // A refusal says that the endpoint has rolled back: the connection is free.
+    // A refusal means that the endpoint has rolled back, so the connection can
+    // be reused.
     close(Core, Table, Call.Request.Transaction,
           Ran.Failed.Refusal != refusal::None);
     co_return Lost;
@@ -186,7 +189,7 @@
   const run_result Ran =
       co_await runMarkedBusy(Core, **Found, Call, std::move(Request));
   close(Core, Table, Call.Request.Transaction, Ran.Answer.has_value());
-  // Without an answer the closed connection rolls back.
+  // Without an answer the connection is closed, which rolls back.
   co_return caller_answer{};
 }
 
--- a/packages/data/src/write_path.cpp
+++ b/packages/data/src/write_path.cpp
@@ -13,14 +13,14 @@
 using base::failure;
 using base::result;
 
-/// A write on its way to a known outcome.
+/// A write over all its tries.
 struct write_attempt {
   request_identity Identity;
-  /// Some try was sent and not answered: it may have run.
+  /// A try was sent without an answer, so it may have run.
   bool MayHaveRun = false;
 };
 
-/// What one try came to.
+/// Result of one try.
 struct write_try {
   std::optional<caller_answer> Answer;
   failure Failure;
@@ -46,7 +46,7 @@
   return Request;
 }
 
-/// The table of records is made on first use of a group.
+/// Creates the table of request records, on the first use of a group.
 base::task<failure> ensureRecordTable(statement_core &Core, call &Call,
                                       std::shared_ptr<dispatcher> Target,
                                       base::term_number Term) {
@@ -57,13 +57,14 @@
       co_await runAt(Core, std::move(Target), Call, std::move(Request));
   if (!Ran.Answer)
     co_return Ran.Failed.Failure;
-  // The write that asked for the table runs after it, so that its own
-  // confirmation covers this one.
-  co_return failure(errc::EndpointRefused, "the table of records was missing");
+  // The write that needed the table runs after this, so its own confirmation
+  // covers the table's creation too.
+  co_return failure(errc::EndpointRefused,
+                    "the table of request records did not exist");
 }
 
-/// The unique key of the record, or one of the statement's own, was taken:
-/// answers with what the record says, or with \p Missing when there is none.
+/// The record's unique key, or one of the statement's own, was already taken:
+/// answers from the record, or with \p Missing when there is none.
 base::task<write_try> answerFromRecord(statement_core &Core, call &Call,
                                        const write_attempt &Attempt,
                                        failure Missing) {
@@ -80,7 +81,8 @@
   co_return write_try{std::move(*Answer), {}};
 }
 
-/// Waits until every promotion must find the write, then words the answer.
+/// Waits until a majority holds the write, so that every promotion keeps it,
+/// then builds the answer.
 base::task<write_try> awaitConfirmation(statement_core &Core, call &Call,
                                         json::value Result,
                                         base::term_number Term,
@@ -96,9 +98,9 @@
   co_return write_try{std::move(Answer), {}};
 }
 
-/// A write that returns rows takes a second round trip: the rows go into its
-/// record before the commit, so that a repeat gets them too. The answer is
-/// that of a recorded run.
+/// A write that returns rows needs a second round trip: the rows are stored in
+/// its record before the commit, so that a retry gets them too. The result has
+/// the same form as that of a single recorded run.
 base::task<run_result> runReturning(statement_core &Core, call &Call,
                                     std::shared_ptr<dispatcher> Target,
                                     const write_attempt &Attempt,
@@ -112,7 +114,7 @@
   run_result Ran = co_await runPinned(Core, Pinned, Call, std::move(First));
   if (!Ran.Answer || Ran.Answer->Results.size() < 2) {
     unpin(Core, Pinned, false);
-    // Nothing was committed: the connection is closed, which rolls back.
+    // Nothing was committed: closing the connection rolls back.
     if (retryKindOf(Ran.Failed.Failure) == retry_kind::SameId)
       Ran.Failed.Failure.Code = make_error_code(errc::EndpointUnreachable);
     co_return Ran;
@@ -131,7 +133,7 @@
   co_return Committed;
 }
 
-/// One recorded run of the write at \p Target.
+/// One run of the write at \p Target, together with its record.
 base::task<run_result> runRecorded(statement_core &Core, call &Call,
                                    std::shared_ptr<dispatcher> Target,
                                    const write_attempt &Attempt,
@@ -170,8 +172,8 @@
   co_return failedTry(Failure);
 }
 
-/// Cancels the request unless it has run, in one step: the record takes the
-/// unique key, so that a try which is still on its way finds it taken.
+/// Cancels the request atomically unless it has run: the record takes the
+/// unique key, so a try that is still in flight fails on it.
 base::task<write_try> tryOutcome(statement_core &Core, call &Call,
                                  const write_attempt &Attempt) {
   const auto View = co_await awaitPrimary(Core, Call);
@@ -195,17 +197,17 @@
     co_return failedTry(co_await ensureRecordTable(Core, Call, Target, Term));
   if (Ran.Failed.Refusal != refusal::UniqueKey)
     co_return failedTry(Ran.Failed.Failure);
-  failure Gone(errc::OutcomeUnknown, "the record is gone");
+  failure Gone(errc::OutcomeUnknown, "the request's record no longer exists");
   co_return co_await answerFromRecord(Core, Call, Attempt, std::move(Gone));
 }
 
-/// Whether another try may settle the outcome. Each try carries the same
-/// record, so the request runs once however many tries arrive.
+/// Whether another try may determine the outcome. All tries carry the same
+/// record, so the request runs at most once.
 bool mayTryAgain(const failure &Failure) {
   return retryKindOf(Failure) != retry_kind::Never;
 }
 
-/// "Not run" is said only when no try can have run.
+/// Reports "not run" only when no try can have run.
 failure finalFailure(const write_attempt &Attempt, const failure &Failure) {
   const base::outcome Outcome = base::kindOf(kindOf(Failure)).Outcome;
   if (Attempt.MayHaveRun && Outcome == base::outcome::NotRun &&
@@ -294,7 +296,7 @@
 base::task<result<caller_answer>> serveOutcome(statement_core &Core,
                                                call Call) {
   write_attempt Attempt{identityOf(Call), false};
-  // An enquiry names the id, not the body: it asks for whatever ran under it.
+  // An outcome query names only the id: it matches any request with that id.
   Attempt.Identity.Digest.clear();
   const auto Aged =
       checkAge(Attempt.Identity.IssuedAt, base::wallMilliseconds());
