--- a/tests/data/caller_message_test.cpp
+++ b/tests/data/caller_message_test.cpp
@@ -11,7 +11,7 @@
 
 constexpr caller_fields Statement{true, true, false, false};
 
-/// The detail of the refusal, empty when the body is accepted.
+/// The detail of the error, empty when the body is accepted.
 std::string errorOf(const std::string &Body) {
   const auto Request = parseCallerRequest(Body, Statement);
   return Request ? "" : Request.error().Detail;
@@ -41,8 +41,8 @@
                 .empty());
 }
 
-// A statement that ends the transaction would separate the effect from the
-// record that keeps it from running twice.
+// Guards against a statement that ends the transaction, which would separate
+// the request's effect from the record that prevents a second run.
 Test(caller_message, transaction_control_hidden_in_a_statement_is_refused) {
   for (const char *Sql :
        {"commit", " COMMIT", "-- x\ncommit", "/* x */ ;rollback", "Begin",
--- a/tests/data/confirm_test.cpp
+++ b/tests/data/confirm_test.cpp
@@ -60,9 +60,9 @@
   cr_assert(isDone(Actions, First.Id) && isDone(Actions, Second.Id));
 }
 
-// A caller is told that its write stays; then the group's next primary does
-// not have it. The replica that "confirmed" it was in another term: its
-// position counted entries of another branch.
+// Guards against an acknowledged write that the next primary lacks: a replica
+// in another term seemed to confirm it, but its position counted entries of
+// another branch.
 Test(confirm, a_position_of_another_term_confirms_nothing) {
   confirm_state State = group();
   onConfirmAnswer(State, replica("a", 0, 8), {}, Later);
@@ -73,8 +73,9 @@
   cr_assert(isDoneAtOnce(Broken, Write));
 }
 
-// As above, but the replica has just been told to follow the new term and
-// still carries entries of a lost branch beyond the new primary's log.
+// The same failure, with a replica that was just told to follow the new term
+// and still has entries of a lost branch beyond the end of the new primary's
+// log.
 Test(confirm, a_replica_without_the_terms_history_confirms_nothing) {
   confirm_state State = group();
   endpoint_state JustTold = replica("a", 1, 8);
@@ -86,9 +87,9 @@
               Write.Id));
 }
 
-// A caller reads an old value after another caller's write was acknowledged.
-// The replaced primary answered, and the proxy took a replica's answer from
-// before the request for proof that the primary was still in place.
+// Guards against a stale read after another caller's write was acknowledged: a
+// replaced primary answered, and a replica's answer from before the request was
+// taken as proof that the primary was still in place.
 Test(confirm, a_read_needs_a_query_sent_after_it_arrived) {
   confirm_state State = group();
   const base::instant Before = Start - base::milliseconds(1);
--- a/tests/data/connection_pool_test.cpp
+++ b/tests/data/connection_pool_test.cpp
@@ -44,15 +44,16 @@
                               std::vector<connection_handle> &Kept) {
   while (Kept.empty())
     co_await asio::post(asio::use_awaitable);
-  // A place stays in the list, so that the second one ends the test.
+  // The empty handle stays in the vector, so that the second connection makes
+  // its size 2 and ends the test.
   Fixture.Pool.release(std::move(Kept.front()));
 }
 
 } // namespace
 
-// Requests are refused with connection_limit although each could have had a
-// connection a moment later: the only one of the limit was being opened ahead
-// of need, or was about to come back.
+// Guards against connection_limit errors for requests that could have had a
+// connection a moment later: the only connection of the limit was being opened
+// ahead of demand or was about to be released.
 Test(connection_pool, a_request_waits_for_the_last_connection) {
   endpoint_fixture Fixture;
   std::vector<connection_handle> Kept;
--- a/tests/data/detector_test.cpp
+++ b/tests/data/detector_test.cpp
@@ -23,7 +23,7 @@
   observe(View, State, Start + At);
 }
 
-/// Primary p and replicas a and b, all heard of at Start.
+/// Primary p and replicas a and b, all of which reported at Start.
 group_view healthyGroup() {
   group_view View;
   std::vector<control::endpoint> Endpoints(3);
@@ -65,8 +65,9 @@
   cr_assert(causeAt(State, View, milliseconds(600)) == suspicion_cause::None);
 }
 
-// Callers' writes all end as unknown although every database answers: the
-// primary is cut off from both replicas, so no write can be confirmed.
+// Guards against a primary that is cut off from both replicas and stays
+// primary: every database answers, but no write can be confirmed, so all
+// outcomes are unknown.
 Test(detector, a_primary_that_cannot_reach_its_replicas_is_suspected) {
   group_view View = healthyGroup();
   detector_state State;
@@ -81,8 +82,8 @@
   cr_assert(causeAt(State, View, milliseconds(900)) == suspicion_cause::None);
 }
 
-// Writes stop for good: the instance that ordered a failover died after it
-// had sealed the group.
+// Guards against an outage without end: the instance that ordered a failover
+// died after it had sealed the group.
 Test(detector, a_term_without_a_primary_is_suspected_after_a_timeout) {
   group_view View = healthyGroup();
   detector_state State;
--- a/tests/data/dispatcher_test.cpp
+++ b/tests/data/dispatcher_test.cpp
@@ -21,7 +21,7 @@
   SlotsAcquired += Acquired.has_value() ? 1 : 0;
 }
 
-/// Lets all that can run do so, without waiting for timers.
+/// Runs everything that is ready, without waiting for timers.
 void settle(asio::io_context &Context) {
   Context.restart();
   Context.poll();
@@ -29,10 +29,10 @@
 
 } // namespace
 
-// All writes of a group stand still for a second at a time although the
-// database does nothing. One transaction holds a lock in the database; writes
-// that wait for the lock fill the window; the transaction's own next statement
-// queues behind them, so nobody moves until the tries time out.
+// Guards against a deadlock that lasts until the tries time out, a second at a
+// time: a transaction holds a lock in the database, writes waiting for that
+// lock fill the window, and the transaction's next statement is queued behind
+// them.
 Test(dispatcher, a_statement_of_an_open_transaction_does_not_queue) {
   asio::io_context Context;
   dispatcher Dispatcher(Context.get_executor(), "i1", Endpoint, 4, {});
@@ -55,8 +55,9 @@
   settle(Context);
 }
 
-// Requests are refused for lack of connections while turns are granted: open
-// transactions hold connections that the window still counts on.
+// Guards against requests that are allowed to run by the window and then fail
+// for lack of a connection: open transactions hold connections that the window
+// still includes.
 Test(dispatcher, pinned_connections_reduce_the_window) {
   asio::io_context Context;
   dispatcher Dispatcher(Context.get_executor(), "i1", Endpoint, 4, {});
--- a/tests/data/failover_test.cpp
+++ b/tests/data/failover_test.cpp
@@ -58,9 +58,9 @@
   const std::vector<row> Rows{
       {{state("a", 5, Old), state("b", 6, Old)}, "b"},
       {{state("a", 9, Old), state("b", 5, New)}, "b"},
-      // b took over the row of term 3, but none of that term's entries.
+      // b took over the history row of term 3, but none of that term's entries.
       {{state("a", 9, Old), state("b", 4, New)}, "a"},
-      // The suspected primary is left out where the others are enough.
+      // The suspected primary is left out when the others are a majority.
       {{state("a", 5, Old), state("b", 6, Old), state("p", 9, Old)}, "b"},
       {{state("a", 5, Old), state("p", 9, Old)}, "p"},
   };
@@ -68,8 +68,9 @@
     cr_assert(chooseMember(Row.Sealed, 3, "p", {}).Name == Row.Chosen);
 }
 
-// Two instances order a promotion in the same term: the store took the first
-// claim, but its answer was lost. Only the row tells whose it is.
+// Guards against two instances that order a promotion in the same term: the
+// store accepted the first claim, but its answer was lost. Only the row shows
+// whose claim it is.
 Test(failover, a_lost_answer_is_resolved_by_reading_back_the_order) {
   struct row {
     versioned_record Read;
@@ -110,9 +111,9 @@
   cr_assert(Order.order().Chosen == "p");
 }
 
-// Writes stop although two databases are well: the platform's store is down,
-// so nobody may promote. That is a gap; a promotion without a claim could end
-// in two primaries of one term.
+// While the platform's store is down nothing is promoted, although two
+// databases work. The outage is accepted, because a promotion without a claim
+// could result in two primaries in one term.
 Test(failover, nothing_is_promoted_while_the_store_is_down) {
   failover Order = newOrder();
   Order.process(row_committed{});
@@ -132,7 +133,8 @@
   };
   const std::vector<row> Rows{
       {record(1, "x", record_state::Done), milliseconds(0), true},
-      // Another instance was faster, and this one has not seen it yet.
+      // Another instance was faster, and this one has not seen the new term
+      // yet.
       {record(2, "x", record_state::Done), milliseconds(0), false},
       {record(2, "x", record_state::Done), milliseconds(1000), true},
       {record(2, "x", record_state::Ordering), milliseconds(999), false},
--- a/tests/data/fair_queue_test.cpp
+++ b/tests/data/fair_queue_test.cpp
@@ -19,13 +19,13 @@
   return enqueue(Queue, {Id, Customer, Deadline}, 1, Start).Queued;
 }
 
-/// Takes out the next request. Precondition: one waits.
+/// Removes the next request. Precondition: one is waiting.
 queue_ticket next(fair_queue &Queue) {
   return dequeue(Queue).value_or(queue_ticket());
 }
 
-/// Slot time that each customer got out of \p Requests turns, when a request of
-/// "slow" takes ten times as long.
+/// Slot time that each customer got for \p Requests requests, when a request
+/// of "slow" takes ten times as long as the others.
 std::map<std::string, microseconds> served(fair_queue &Queue, int Requests) {
   std::map<std::string, microseconds> Time;
   for (int Request = 0; Request < Requests; ++Request) {
@@ -38,7 +38,7 @@
   return Time;
 }
 
-/// A flood of 1000 requests before 5 of another customer.
+/// 1000 requests of one customer, followed by 5 of another.
 fair_queue flooded(queue_policy Policy) {
   fair_queue Queue;
   Queue.Settings.Policy = Policy;
@@ -49,7 +49,7 @@
   return Queue;
 }
 
-/// How many requests are served before the calm customer's five are.
+/// How many requests are served until all five of the customer "calm" are.
 int requestsUntilCalmIsServed(fair_queue Queue) {
   int Left = 5;
   int Requests = 0;
@@ -60,19 +60,19 @@
 
 } // namespace
 
-// One customer sends several times its rate. Its requests fill the queue, and
-// those of the others, who did nothing wrong, wait behind them.
+// Guards against a customer that sends several times its rate: its requests
+// would fill the queue and delay those of customers within their rate.
 Test(fair_queue, a_flood_does_not_delay_another_customer) {
   cr_assert(requestsUntilCalmIsServed(flooded(queue_policy::Fair)) <= 15);
-  // The baseline shows that the test sees the fault.
+  // The Fifo baseline shows that the test detects the failure.
   cr_assert(requestsUntilCalmIsServed(flooded(queue_policy::Fifo)) == 1005);
 }
 
-// One customer's statements are ten times as slow. Counted by requests, it
-// would get ten times the slot time of the others.
+// Guards against counting by requests: a customer whose statements are ten
+// times as slow would get ten times the slot time of the others.
 Test(fair_queue, shares_are_measured_in_slot_time) {
   fair_queue Queue;
-  // Both always have requests waiting; one that has none gets no turn.
+  // Both customers always have waiting requests; one without any is not served.
   for (std::uint64_t Id = 0; Id < 20; ++Id)
     add(Queue, Id, Id % 2 == 0 ? "slow" : "quick");
   const auto Time = served(Queue, 5000);
--- a/tests/data/group_view_test.cpp
+++ b/tests/data/group_view_test.cpp
@@ -32,9 +32,9 @@
 
 } // namespace
 
-// A database is restarted and comes back empty, in the first term. Its group
-// never gets its third copy back, because the proxies take what it says for a
-// late answer and nobody tells it whom to follow.
+// Guards against a group that stays without its third copy: a database
+// restarted empty, in the first term, and its state was ignored as a late
+// answer, so that it was never told which primary to follow.
 Test(group_view, a_member_that_lost_its_state_is_observed_again) {
   group_view View = viewInTerm(5);
   observeFailure(View, "a", Start + milliseconds(100));
--- a/tests/data/request_record_test.cpp
+++ b/tests/data/request_record_test.cpp
@@ -19,16 +19,16 @@
 
 } // namespace
 
-// A caller repeats a payment after a day. The record of the first try has been
-// deleted, so the repeat would run a second time; it must be refused instead.
+// Guards against a payment that runs twice: the caller retries it after a day,
+// when the record of the first try has been deleted. The retry must be refused.
 Test(request_record, a_request_past_the_retention_is_refused) {
   cr_assert(ageErrorOf(Now - 23 * Hour) == base::errc::Ok);
   cr_assert(ageErrorOf(Now - 25 * Hour) == base::errc::RequestExpired);
   cr_assert(ageErrorOf(Now + 1 * Hour) == base::errc::BadRequest);
 }
 
-// An instance whose clock is ahead deletes old records while one whose clock
-// is behind still accepts repeats of them.
+// Guards against an instance whose clock is ahead and that deletes records
+// while one whose clock is behind still accepts retries of their requests.
 Test(request_record, records_outlive_the_retention_by_a_margin) {
   const statement Delete = deleteExpired(Now);
   const std::int64_t Oldest = Delete.Params.at(0).as_int64();
--- a/tests/data/retry_policy_test.cpp
+++ b/tests/data/retry_policy_test.cpp
@@ -12,8 +12,9 @@
 
 } // namespace
 
-// A database comes back after an outage. Every waiting request and all its
-// repeats arrive at once and bring it down again.
+// Guards against a retry storm: when a database recovers from an outage, the
+// waiting requests and all their retries would arrive at once and overload it
+// again.
 Test(retry_policy, retries_are_a_bounded_fraction_of_the_requests) {
   retry_budget Budget;
   int Retries = 0;
@@ -43,8 +44,8 @@
   cr_assert(isClosed(Circuit, Start));
 }
 
-// A write was sent and its answer lost. Only a repeat that carries the same
-// request id may follow; treated as "not run" it could run twice.
+// Guards against a write that runs twice: its answer was lost, so only a retry
+// with the same request id is safe.
 Test(retry_policy, an_unknown_outcome_is_retried_only_under_the_same_id) {
   using base::errc;
   cr_assert(retryKindOf({errc::OutcomeUnknown}) == retry_kind::SameId);
--- a/tests/data/routing_test.cpp
+++ b/tests/data/routing_test.cpp
@@ -20,8 +20,8 @@
   return {Name, "orders", {"127.0.0.1", 1}, Zone, 5, 35};
 }
 
-/// A primary p at 100 and replicas r1 (zone a) and r2 (zone b) at 90; the
-/// primary was at 90 twenty milliseconds ago.
+/// A primary p at position 100 and replicas r1 (zone a) and r2 (zone b) at 90;
+/// the primary was at 90 twenty milliseconds ago.
 group_view groupAt(base::instant Now) {
   group_view View;
   View.Group = "orders";
@@ -52,8 +52,9 @@
   cr_assert(routed(sessionRead(90), "a").Replica == "r1");
 }
 
-// A session wrote, roamed to another instance and reads. Its replica has not
-// applied the write yet. Served there, the caller would miss its own write.
+// Guards against a session that misses its own write: it wrote, moved to
+// another instance and reads there, but the replica has not applied the write
+// yet.
 Test(routing, a_session_ahead_of_the_replicas_waits_or_reads_the_primary) {
   const route Waits = routed(sessionRead(100));
   cr_assert(Waits.Reason == route_reason::ReplicaAfterWait);
@@ -61,14 +62,14 @@
   routing_settings Settings;
   Settings.ReplicaWait = milliseconds(0);
   cr_assert(!routed(sessionRead(100), "b", Settings).Replica);
-  // The mutation shows that the test sees the fault.
+  // The mutation shows that the test detects the failure.
   Settings.MutateIgnoreSession = true;
   cr_assert(routed(sessionRead(100), "b", Settings).Replica.has_value());
 }
 
-// A write's answer was lost, so the caller has no token for it, or lost the
-// token. Nobody can tell what the session has written: only the primary will
-// do, unless the caller says that there is no session.
+// Without a valid token, for example because the answer to a write was lost, it
+// is unknown what the session has written. Only the primary may serve the read,
+// unless the caller declares that it has no session.
 Test(routing, a_missing_or_invalid_token_reads_the_primary) {
   read_request Read = sessionRead(90);
   Read.Position.reset();
@@ -93,8 +94,8 @@
   cr_assert(!routed(Read).Replica);
 }
 
-// Replication stops. The replicas' data grows older than the read accepts,
-// although they still answer and say that they are replicas.
+// Guards against replicas that still answer after replication has stopped:
+// their data becomes older than the read accepts.
 Test(routing, a_replica_older_than_declared_is_not_used) {
   read_request Read = sessionRead(90);
   Read.MaxAge = milliseconds(19);
@@ -103,9 +104,9 @@
   cr_assert(routed(Read).Replica.has_value());
 }
 
-// Routing saw a replica at position 90. Before the read arrived the replica
-// was rebuilt empty, and answered from position 3. The answer's own state, not
-// the one routing remembered, decides whether it is delivered.
+// Guards against a replica that was rebuilt empty after routing had seen it at
+// position 90, and that answers from position 3. The state in the answer, not
+// the one that routing used, decides whether the answer is returned.
 Test(routing, an_answer_is_checked_by_its_own_state) {
   const group_view View = groupAt(Start);
   const endpoint_state State = stateOf("r1", endpoint_role::Replica, 90);
--- a/tests/data/session_token_test.cpp
+++ b/tests/data/session_token_test.cpp
@@ -8,7 +8,7 @@
 
 constexpr const char *FleetKey = "the fleet's secret";
 
-/// Term 1 up to position 10, then term 3 from there, then term 4 from 20.
+/// Term 1 up to position 10, term 3 up to position 20, then term 4.
 const std::vector<history_row> History{{1, 0}, {3, 10}, {4, 20}};
 
 session_state sessionAt(std::uint64_t Term, std::uint64_t Position) {
@@ -25,8 +25,8 @@
   cr_assert(*Read == Session);
 }
 
-// A caller of one customer gets hold of another customer's token, or changes
-// its own to look further ahead. Neither may count as a session.
+// Guards against a caller that uses another customer's token, or changes its
+// own to claim a later position. Neither may verify.
 Test(session_token, a_changed_or_another_customers_token_does_not_verify) {
   const std::string Token = encodeToken(FleetKey, "dulce", sessionAt(1, 5));
   cr_assert(!decodeToken(FleetKey, "amar", Token).has_value());
@@ -40,9 +40,10 @@
   }
 }
 
-// A session wrote at position 15 of term 1. The primary died, the promotion
-// kept term 1 only up to position 10, and the new branch has reached 30. The
-// number 30 is greater than 15, but the write is not in it.
+// Guards against comparing positions of different branches: a session wrote at
+// position 15 of term 1, the primary died, the promotion kept term 1 only up to
+// position 10, and the new branch has reached 30. Although 30 is greater than
+// 15, the write is not in it.
 Test(session_token, positions_are_compared_within_their_branch_only) {
   cr_assert(covers(History, 30, {"orders", 1, 10}));
   cr_assert(!covers(History, 30, {"orders", 1, 15}));
--- a/tests/data/slot_window_test.cpp
+++ b/tests/data/slot_window_test.cpp
@@ -10,7 +10,8 @@
 
 const base::instant Start{std::chrono::seconds(100)};
 
-/// Runs full rounds in which the endpoint queues for \p Queued a request.
+/// Runs full rounds in which each request queues in the endpoint for
+/// \p Queued.
 void runRounds(slot_window &Window, microseconds Queued, int Rounds,
                base::instant &Now) {
   constexpr microseconds Busy{500};
@@ -34,8 +35,8 @@
   cr_assert(Window.Size == 8);
 }
 
-// All instances together send more than a database has slots. Requests wait
-// there, where no instance can tell one customer from another.
+// Guards against queueing in the database, where customers cannot be told
+// apart: all instances together send more than it has slots.
 Test(slot_window, it_shrinks_while_requests_queue_in_the_database) {
   slot_window Window;
   Window.Limit = 8;
--- a/tests/data/statement_core_test.cpp
+++ b/tests/data/statement_core_test.cpp
@@ -36,9 +36,9 @@
 
 } // namespace
 
-// A key is withdrawn while its requests wait in a queue. The operator was told
-// that it is out of force; the waiting requests run all the same, because they
-// were checked when they arrived.
+// Guards against requests that run after the operator was told that their key
+// is out of force: the key was withdrawn while they were queued, and it had
+// been checked only on arrival.
 Test(statement_core, a_key_withdrawal_stops_queued_requests) {
   core_fixture Fixture;
   call Call = queuedCall();
@@ -49,8 +49,8 @@
   cr_assert(!isKeyInForce(Fixture.Core, Call));
 }
 
-// The same, but the store did not answer the withdrawal. The instance takes
-// the key out of force at once, under the version it has.
+// The same, when the store did not answer the withdrawal: the instance revokes
+// the key at once, under the configuration version that it has.
 Test(statement_core, a_withdrawal_of_unknown_outcome_stops_them_too) {
   core_fixture Fixture;
   call Call = queuedCall();
@@ -60,8 +60,8 @@
   cr_assert(!isKeyInForce(Fixture.Core, Call));
 }
 
-// An id of a key is given again, to another customer. A request that waits
-// under the old key must not run for the new customer, or at all.
+// Guards against a queued request that runs for the wrong customer: its key's
+// id was assigned again, to another customer. The request must not run at all.
 Test(statement_core, a_key_id_assigned_again_is_another_key) {
   core_fixture Fixture;
   call Call = queuedCall();
@@ -71,8 +71,8 @@
   cr_assert(!isKeyInForce(Fixture.Core, Call));
 }
 
-// The process was paused while a request waited in a queue. Its key may have
-// been withdrawn meanwhile; the configuration in memory cannot tell.
+// Guards against a key that was withdrawn while the process was paused and its
+// request queued: the configuration in memory does not show the withdrawal yet.
 Test(statement_core, a_request_that_waited_through_a_pause_does_not_run) {
   core_fixture Fixture;
   call Call = queuedCall();
--- a/tests/matrix/caller_model.cpp
+++ b/tests/matrix/caller_model.cpp
@@ -11,8 +11,8 @@
 constexpr milliseconds ConfirmTimeout{1000};
 constexpr milliseconds CallInterval{45};
 
-/// Waits for a confirmation; \p Done runs one message later, when the caller
-/// gets the answer: the instance may be paused in between.
+/// Waits for a confirmation. \p Done runs one message later, when the caller
+/// gets the answer; the instance may be paused in between.
 void confirm(world &World, instance_model &Instance,
              data::confirm_waiter Waiter, std::function<void(bool)> Done) {
   data::confirm_actions Actions = addWaiter(Instance.Confirm, Waiter);
@@ -105,8 +105,8 @@
   if (!World.LoadOn || !Instance.View.Primary)
     return;
   read(World, Instance);
-  // The callers of one instance only read: their own writes on a replaced
-  // primary would hide that it is stale.
+  // The callers of one instance only read, because their own writes on a
+  // replaced primary would hide that it is stale.
   if (Instance.Name == World.Instances.begin()->first)
     return;
   write_id Write = ++World.LastWrite;
--- a/tests/matrix/endpoint_model.cpp
+++ b/tests/matrix/endpoint_model.cpp
@@ -44,7 +44,7 @@
   run_reply Reply;
   if (isPrimaryIn(Endpoint, Expected)) {
     Reply.Ran = true;
-    // The unique key of the write's id: a repeat finds the first run.
+    // Models the unique key of the write's id: a retry finds the first run.
     const bool Known =
         std::ranges::find(Endpoint.Log, Write, &log_entry::Write) !=
         Endpoint.Log.end();
@@ -109,7 +109,7 @@
   const bool Ships =
       Endpoint.State.Role == endpoint_role::Primary &&
       std::ranges::find(Endpoint.Members, Member) != Endpoint.Members.end();
-  // A message without news would change nothing; leaving it out saves time.
+  // A message without changes has no effect; omitting it saves time.
   const endpoint_model &Replica = World.Endpoints.at(Member);
   const bool HasChanges = Replica.Log.size() != Endpoint.Log.size() ||
                           Replica.State.History != Endpoint.State.History;
--- a/tests/matrix/failover_scenario.cpp
+++ b/tests/matrix/failover_scenario.cpp
@@ -8,7 +8,7 @@
 
 using base::milliseconds;
 
-/// Ways in which the first primary fails.
+/// Number of ways in which the first primary fails.
 constexpr std::uint64_t Triggers = 7;
 constexpr milliseconds TriggerAt{1000};
 constexpr milliseconds HealAfter{3000};
@@ -51,7 +51,7 @@
   World.Table.Slow = milliseconds(0);
 }
 
-/// Leaves \p Endpoint and \p Instance alone with each other.
+/// Isolates \p Endpoint and \p Instance together from all other nodes.
 void isolatePair(network &Net, const node &Endpoint, const node &Instance) {
   for (const node &Member : allNodes()) {
     if (Member == Endpoint || Member == Instance)
@@ -63,7 +63,7 @@
   }
 }
 
-/// What puts an end to the first primary.
+/// Makes the first primary fail.
 void trigger(world &World, std::uint64_t Kind) {
   network &Net = World.Net;
   const node Primary = "a";
@@ -158,7 +158,7 @@
   }
 }
 
-/// Whether the group can be expected to take writes at the end.
+/// Whether the group is expected to accept writes at the end.
 bool shouldServe(const world &World) {
   const auto IsKilled = [&](const node &Node) {
     return World.Net.Killed.contains(Node);
@@ -187,7 +187,7 @@
 } // namespace
 
 cell_run runFailover(const failover_run &Run) {
-  // Each cell has a course of its own, also before the fault strikes.
+  // Each cell has its own random sequence, even before the fault is injected.
   const auto Cell = static_cast<std::uint64_t>(Run.Fault) * StepNames.size() +
                     static_cast<std::uint64_t>(Run.Step);
   world World(Run.Seed * FaultNames.size() * StepNames.size() + Cell);
@@ -204,7 +204,7 @@
     World.Net.after(HealAfter, "healer", [&World] { heal(World); });
   };
   startWorld(World);
-  // Some runs lose the answer to the first claim as well.
+  // In some runs the answer to the first claim is lost as well.
   World.Net.after(TriggerAt, "healer", [&] {
     trigger(World, World.Net.pick(Triggers));
     const bool Loses =
@@ -235,8 +235,8 @@
                        "no write doubled", "one primary a term",
                        "one order a term", "no stale read",
                        "writes go on"};
-  // The decisions read the monotonic clock only; a step of the wall clock has
-  // nothing to act on here.
+  // The code under test reads only the monotonic clock, so a step of the wall
+  // clock has no effect here.
   Scenario.NotCovered = {fault::ClockStep};
   Scenario.Run = [Apply](fault Fault, std::size_t Step, std::uint64_t Seed) {
     failover_run Run;
--- a/tests/matrix/failover_scenario.hpp
+++ b/tests/matrix/failover_scenario.hpp
@@ -3,7 +3,7 @@
 #include "models.hpp"
 #include "registry.hpp"
 
-/// Failover of one group under faults.
+/// Failover of one group under injected faults.
 namespace redwinggw::matrix {
 
 struct failover_run {
@@ -14,15 +14,15 @@
   data::confirm_parameters Confirm;
 };
 
-/// Runs one cell once. The same run gives the same result each time. The seed
-/// also picks how the first primary fails: killed, paused, cut off from all,
-/// from its replicas, one way, or from the instances.
+/// Runs one cell once; equal runs give equal results. The seed also selects how
+/// the first primary fails: killed, paused, or cut off from all nodes, from its
+/// replicas, in one direction, or from the instances.
 cell_run runFailover(const failover_run &Run);
 
 /// One run of every cell with \p Seed.
 std::vector<failover_run> allCells(std::uint64_t Seed);
 
-/// A guard switched off, and the promise that breaks without it.
+/// A safety check that is switched off, and the promise that breaks without it.
 struct mutation {
   std::string Name;
   std::string Promise;
--- a/tests/matrix/instance_model.cpp
+++ b/tests/matrix/instance_model.cpp
@@ -22,8 +22,8 @@
     World.OnStep(Step, Instance.Name);
 }
 
-/// Asks an endpoint something that it serves by \p Serve, which tells whether
-/// it accepted; the answer carries the state after it.
+/// Sends an endpoint a request that \p Serve handles and accepts or refuses;
+/// the answer carries the endpoint's state afterwards.
 void sendCommand(world &World, instance_model &Instance, const node &Member,
                  data::member_request Request,
                  std::function<bool(endpoint_model &)> Serve);
@@ -46,7 +46,7 @@
     }
     return Result;
   };
-  // A slow store takes effect late and answers late.
+  // With a slow store, commits take effect late and answers arrive late.
   const node Name = Instance.Name;
   World.Net.after(World.Table.Slow, TableNode, [&World, Name, Answer, Done] {
     World.Net.call<Reply>(Name, TableNode, Answer, Done, StoreTimeout);
--- a/tests/matrix/matrix.cpp
+++ b/tests/matrix/matrix.cpp
@@ -114,7 +114,7 @@
 int main(int Count, char **Values) {
   const options Options = parseOptions(Count, Values);
   std::vector<scenario> Scenarios = scenarios();
-  // Scenarios without a guard fail on purpose, so they run only when named.
+  // Scenarios without a safety check fail by design, so they run only by name.
   if (!Options.Scenario.empty())
     std::ranges::move(mutatedFailoverScenarios(),
                       std::back_inserter(Scenarios));
--- a/tests/matrix/matrix_guards_test.cpp
+++ b/tests/matrix/matrix_guards_test.cpp
@@ -25,10 +25,9 @@
 
 } // namespace
 
-// A caller is told that its write stays, and it is gone; or an old value is
-// read; or two instances order the same term. Each guard in turn is switched
-// off, and the checker has to see it from outside. With the guard the very
-// same run keeps every promise.
+// Switches off each safety check in turn and verifies that the fault matrix
+// detects the consequence: a lost acknowledged write, a stale read, or two
+// orders in one term. With all checks on, the same run keeps every promise.
 Test(matrix_guards, each_guard_is_needed) {
   for (const mutation &Mutation : failoverMutations()) {
     const auto Caught = cellThatCatches(Mutation);
--- a/tests/matrix/models.hpp
+++ b/tests/matrix/models.hpp
@@ -14,8 +14,9 @@
 #include <string>
 #include <vector>
 
-/// One group of three endpoints, the table row and the instances, run by the
-/// real decisions. Endpoints follow the five rules of docs/ENDPOINTS.md.
+/// Simulation of one group of three endpoints, the row in the table service and
+/// the instances, which run the real decision code. Endpoints follow the five
+/// rules of docs/ENDPOINTS.md.
 namespace redwinggw::matrix {
 
 using write_id = std::uint64_t;
@@ -38,11 +39,11 @@
   std::string Value;
   bool Down = false;
   base::milliseconds Slow{0};
-  /// Answers that are still to be lost.
+  /// Number of answers still to be lost.
   int LoseAnswers = 0;
 };
 
-/// The steps at which a fault may strike.
+/// Steps at which a fault can be injected.
 enum class step {
   WriteSent,
   WriteKept,
@@ -71,7 +72,7 @@
     {step::Finished, "finished"},
 });
 
-/// What callers saw, and what is judged at the end.
+/// What callers observed; checked at the end.
 struct history {
   struct acknowledged {
     base::log_position Position = 0;
@@ -96,7 +97,7 @@
   std::map<std::uint64_t, std::function<void(bool)>> ConfirmationWaits;
   std::map<node, std::pair<base::instant, std::vector<data::suspicion>>>
       Reports;
-  /// Writes whose outcome is unknown; they are repeated.
+  /// Writes whose outcome is unknown; they are retried.
   std::vector<write_id> Unknown;
 };
 
@@ -115,7 +116,7 @@
   /// Called when \p Node reaches a step.
   std::function<void(step, const node &)> OnStep;
   bool LoadOn = true;
-  /// How often a primary sends its log to each member.
+  /// Interval at which a primary sends its log to each member.
   std::map<node, base::milliseconds> ShipInterval;
   write_id LastWrite = 0;
 };
@@ -123,7 +124,7 @@
 /// The name of the table service's node.
 inline const node TableNode = "table";
 
-/// Starts shipping, polls, supervision and load.
+/// Starts log shipping, polls, supervision and load.
 void startWorld(world &World);
 
 /// \name Requests as an endpoint serves them
@@ -137,23 +138,23 @@
 run_reply serveWrite(endpoint_model &Endpoint, base::term_number Expected,
                      write_id Write);
 run_reply serveRead(endpoint_model &Endpoint, base::term_number Expected);
-/// Seal, promote and follow answer nothing when they are refused.
+/// Seal, promote and follow return false when they are refused.
 bool serveSeal(endpoint_model &Endpoint, base::term_number Term,
                const std::string &Order);
 bool servePromote(world &World, endpoint_model &Endpoint,
                   const data::promote_member &Request);
 bool serveFollow(endpoint_model &Endpoint, base::term_number Term,
                  const std::string &Order);
-/// Sends the log of \p Name to \p Member from time to time, while it is
+/// Sends the log of \p Name to \p Member periodically while \p Name is the
 /// primary.
 void shipLog(world &World, const node &Name, const node &Member);
 /// @}
 
 /// Starts the instance's polls, reports and supervision.
 void startInstance(world &World, instance_model &Instance);
-/// Starts its callers, who write and read all the time.
+/// Starts its callers, which write and read continuously.
 void startCallers(world &World, instance_model &Instance);
-/// Hands \p Actions of the coalescer out.
+/// Wakes the finished waiters and sends the queries in \p Actions.
 void perform(world &World, instance_model &Instance,
              data::confirm_actions Actions);
 void applyState(world &World, instance_model &Instance,
@@ -161,7 +162,7 @@
                 std::optional<data::confirm_query_kind> QueryKind,
                 base::instant AskedAt);
 
-/// Judges the final state and what callers saw.
+/// Checks the final state and what callers observed.
 void checkHistory(world &World);
 
 } // namespace redwinggw::matrix
--- a/tests/matrix/network.hpp
+++ b/tests/matrix/network.hpp
@@ -11,8 +11,8 @@
 #include <string>
 #include <utility>
 
-/// Virtual time and messages between named nodes, replayed exactly from a
-/// seed. Messages can be lost, late, doubled and crossed.
+/// Simulated time and messages between named nodes, deterministic for a seed.
+/// Messages can be lost, delayed, duplicated and reordered.
 namespace redwinggw::matrix {
 
 using node = std::string;
@@ -23,9 +23,9 @@
 
   base::instant Now{base::milliseconds(1)};
   std::mt19937_64 Random;
-  /// A cut lets nothing pass from the first to the second.
+  /// Pairs of nodes: no message passes from the first to the second.
   std::set<std::pair<node, node>> Cuts;
-  /// Connections between two nodes that went silent.
+  /// Pairs of nodes whose connections are dead without an error.
   std::set<std::pair<node, node>> Silent;
   std::set<node> Killed;
   std::map<node, base::instant> PausedUntil;
@@ -37,13 +37,15 @@
   std::uint64_t pick(std::uint64_t Below) { return Random() % Below; }
   bool isUp(const node &Node) const;
 
-  /// Runs \p Action on \p Owner; later when it is paused, never when killed.
+  /// Runs \p Action on \p Owner after \p Wait; later if the node is paused,
+  /// never if it is killed.
   void after(base::microseconds Wait, const node &Owner,
              std::function<void()> Action);
   void send(const node &From, const node &To, std::function<void()> Deliver);
   void runUntil(base::instant End);
 
-  /// A request and its answer. \p Done gets nothing when none came in time.
+  /// Sends a request and receives its answer. \p Done gets no value when no
+  /// answer came within \p Timeout.
   template <typename Reply>
   void call(const node &From, const node &To,
             std::function<std::optional<Reply>()> Serve,
--- a/tests/matrix/registry.hpp
+++ b/tests/matrix/registry.hpp
@@ -9,8 +9,9 @@
 #include <string>
 #include <vector>
 
-/// The fault matrix: faults by steps by promises. A scenario registers a
-/// function that strikes one fault at one step and tells which promises broke.
+/// The fault matrix: faults by steps, checked against promises. A scenario
+/// registers a function that injects one fault at one step and returns the
+/// promises that broke.
 namespace redwinggw::matrix {
 
 enum class fault {
@@ -51,31 +52,32 @@
     {fault::TwoAtOnce, "two at once"},
 });
 
-/// What one run of one cell showed.
+/// Result of one run of one cell.
 struct cell_run {
-  /// The step was reached, so that the fault struck.
+  /// The step was reached, so the fault was injected.
   bool Injected = false;
   /// Names of the promises that broke.
   std::set<std::string> Broken;
-  /// Digest of what callers saw; equal for equal runs.
+  /// Digest of what callers observed; equal for equal runs.
   std::uint64_t Digest = 0;
 };
 
 /// A part of the system under faults. Add one to scenarios() to extend the
-/// table, for example with sessions, at most once, rate or keys.
+/// matrix, for example with sessions, at-most-once execution, rates or keys.
 struct scenario {
   std::string Name;
   std::vector<std::string> Steps;
   std::vector<std::string> Promises;
-  /// Faults that the scenario cannot strike; their cells are not covered.
+  /// Faults that the scenario cannot inject; their cells are not covered.
   std::set<fault> NotCovered;
   std::function<cell_run(fault, std::size_t Step, std::uint64_t Seed)> Run;
 };
 
-/// The scenarios by name, in the order of the table.
+/// The scenarios in the order of the table.
 std::vector<scenario> scenarios();
 
-/// Failover with all guards, and with one guard switched off by its name.
+/// Failover with all safety checks, and with one of them switched off, by its
+/// name.
 scenario failoverScenario();
 std::vector<scenario> mutatedFailoverScenarios();
 
--- a/tests/matrix/world.cpp
+++ b/tests/matrix/world.cpp
@@ -30,7 +30,7 @@
   return Instance;
 }
 
-/// The log that the group goes on with: the primary's of the highest term.
+/// The live primary of the highest term, whose log the group continues with.
 const endpoint_model *livePrimary(const world &World) {
   const endpoint_model *Best = nullptr;
   for (const auto &[Name, Endpoint] : World.Endpoints) {
@@ -96,8 +96,8 @@
     checkLog(World, Primary->Log);
     return;
   }
-  // Without a primary the group must at least be able to go on with all that
-  // was acknowledged: some live log of a majority holds it.
+  // Without a primary the group must still be able to continue with everything
+  // that was acknowledged: some live log of a majority holds it.
   const auto Longest =
       std::ranges::max_element(World.Endpoints, {}, [](const auto &Entry) {
         return std::pair(data::lastEntryTerm(Entry.second.State),
