--- a/packages/data/include/redwinggw/data/failover.hpp
+++ b/packages/data/include/redwinggw/data/failover.hpp
@@ -102,7 +102,7 @@
 /// The primary is no longer suspected, and the claim was not yet known to be
 /// stored.
 struct order_abandoned {};
-enum class commit_outcome { Taken, Conflict, Unknown };
+enum class commit_outcome { Stored, Conflict, Unknown };
 struct row_committed {
   commit_outcome Outcome = commit_outcome::Unknown;
   /// The row's new version if the commit was stored.
@@ -167,7 +167,7 @@
   base::instant StepSince;
   std::vector<endpoint_state> Sealed;
   /// Members with a request in flight.
-  std::set<base::endpoint_name> Asked;
+  std::set<base::endpoint_name> InFlight;
   bool CommitOpen = false;
   bool ReadOpen = false;
   /// Whether a member refused because it has a higher term or another order.
@@ -233,7 +233,7 @@
 };
 
 /// Whether \p Step is final.
-bool isOver(failover_step Step);
+bool isFinal(failover_step Step);
 
 /// The name of \p Step for log lines. Thread safe.
 std::string_view stepName(failover_step Step);
--- a/packages/data/include/redwinggw/data/group_view.hpp
+++ b/packages/data/include/redwinggw/data/group_view.hpp
@@ -49,8 +49,8 @@
 /// Processes a state that a member reported. A state of a lower term than the
 /// member's last one is a late answer and is ignored, unless a failure in
 /// between shows that the member restarted without its state.
-void observe(group_view &View, const endpoint_state &State,
-             base::instant AskedAt);
+void observeState(group_view &View, const endpoint_state &State,
+                  base::instant AskedAt);
 
 /// Notes that \p Member did not answer a request sent at \p AskedAt.
 void observeFailure(group_view &View, std::string_view Member,
--- a/packages/data/src/caller_message.cpp
+++ b/packages/data/src/caller_message.cpp
@@ -16,9 +16,9 @@
 using base::result;
 
 constexpr std::int64_t DefaultDeadline = 5000;
-constexpr std::int64_t LongestDeadline = 60000;
-constexpr std::size_t LongestRequestId = 64;
-constexpr std::int64_t MillisecondsASecond = 1000;
+constexpr std::int64_t MaxDeadline = 60000;
+constexpr std::size_t MaxRequestIdLength = 64;
+constexpr std::int64_t MillisecondsPerSecond = 1000;
 
 failure badRequest(std::string Detail) {
   return {errc::BadRequest, std::move(Detail)};
@@ -145,7 +145,7 @@
 void readIdentity(field_reader &Reader, caller_request &Request,
                   bool Required) {
   Request.RequestId = readText(Reader, "request_id", Required);
-  if (Request.RequestId.size() > LongestRequestId)
+  if (Request.RequestId.size() > MaxRequestIdLength)
     Reader.fail("request_id", "at most 64 characters long");
   Request.IssuedAt = readInteger(Reader, "issued_at", 0);
   if (Required && Request.IssuedAt <= 0)
@@ -194,7 +194,7 @@
   readIdentity(Reader, Request, NeedsRequestId);
   const std::int64_t Deadline =
       readInteger(Reader, "deadline_ms", DefaultDeadline);
-  if (Deadline < 1 || Deadline > LongestDeadline)
+  if (Deadline < 1 || Deadline > MaxDeadline)
     Reader.fail("deadline_ms", "from 1 to 60000");
   Request.Deadline = base::milliseconds(Deadline);
   if (Reader.FirstError)
@@ -224,8 +224,8 @@
   if (Failure.RetryAfter > base::milliseconds(0)) {
     Body["retry_after_ms"] = Failure.RetryAfter.count();
     Response.RetryAfter = static_cast<unsigned>(
-        (Failure.RetryAfter.count() + MillisecondsASecond - 1) /
-        MillisecondsASecond);
+        (Failure.RetryAfter.count() + MillisecondsPerSecond - 1) /
+        MillisecondsPerSecond);
   }
   Response.Body = json::serialize(Body);
   return Response;
--- a/packages/data/src/confirm.cpp
+++ b/packages/data/src/confirm.cpp
@@ -95,8 +95,8 @@
   return *Lowest;
 }
 
-std::optional<confirm_waiter> firstUnproven(const confirm_state &State,
-                                            const confirm_member &Member) {
+std::optional<confirm_waiter> firstNotCurrent(const confirm_state &State,
+                                              const confirm_member &Member) {
   const auto Found =
       std::ranges::find_if(State.Waiters, [&](const auto &Waiter) {
         return !isCurrent(State, Member, Waiter);
@@ -117,7 +117,7 @@
                                  Waiting->Term, Waiting->Position,
                                  Member.DelayNextQuery});
     }
-    const auto Current = firstUnproven(State, Member);
+    const auto Current = firstNotCurrent(State, Member);
     if (Current && !Member.CurrentQueryOpen) {
       Member.CurrentQueryOpen = true;
       Actions.Queries.push_back({Member.Name, confirm_query_kind::Current,
--- a/packages/data/src/failover.cpp
+++ b/packages/data/src/failover.cpp
@@ -196,7 +196,7 @@
   return Orders;
 }
 
-bool isOver(failover_step Step) {
+bool isFinal(failover_step Step) {
   return Step == failover_step::Done || Step == failover_step::Superseded ||
          Step == failover_step::GivenUp;
 }
--- a/packages/data/src/failover_machine.cpp
+++ b/packages/data/src/failover_machine.cpp
@@ -33,7 +33,7 @@
 void applyEvent(failover_order &Order, const row_committed &Event) {
   Order.CommitOpen = false;
   Order.Commit = Event.Outcome;
-  if (Event.Outcome == commit_outcome::Taken)
+  if (Event.Outcome == commit_outcome::Stored)
     Order.OwnVersion = Event.Version;
 }
 
@@ -51,7 +51,7 @@
 }
 
 void applyEvent(failover_order &Order, const member_answered &Event) {
-  Order.Asked.erase(Event.Member);
+  Order.InFlight.erase(Event.Member);
   Order.Refused |= Event.Refused;
   if (!Event.State)
     return;
@@ -111,11 +111,11 @@
   return Order.RowRead && Order.RowRead->Version == Order.Plan.Row.Version;
 }
 
-bool isTaken(const failover_order &Order) {
+bool isClaimStored(const failover_order &Order) {
   // The answer of a commit can be lost after the commit was stored, and a
   // commit without an answer can still be stored later. Only the row shows
   // which.
-  return Order.Commit == commit_outcome::Taken ||
+  return Order.Commit == commit_outcome::Stored ||
          (Order.Commit == commit_outcome::Unknown &&
           !Order.Parameters.ReadBackOwnOrder);
 }
@@ -161,19 +161,19 @@
   Out.emplace_back(read_row{});
 }
 
-void sealMissing(failover_order &Order, commands &Out) {
+void sealRemaining(failover_order &Order, commands &Out) {
   for (const endpoint_address &Member : Order.Plan.Members) {
     const bool Sealed =
         std::ranges::find(Order.Sealed, Member.Name, &endpoint_state::Name) !=
         Order.Sealed.end();
-    if (Sealed || !Order.Asked.insert(Member.Name).second)
+    if (Sealed || !Order.InFlight.insert(Member.Name).second)
       continue;
     Out.emplace_back(seal_member{Member, Order.Term, Order.Plan.Order});
   }
 }
 
 void promoteChosen(failover_order &Order, commands &Out) {
-  if (!Order.Asked.insert(Order.Chosen).second)
+  if (!Order.InFlight.insert(Order.Chosen).second)
     return;
   Out.emplace_back(promote_member{chosenOf(Order), Order.Term, Order.Plan.Order,
                                   othersOf(Order)});
@@ -185,7 +185,7 @@
   Order.Chosen = chooseMember(Order.Sealed, Order.Plan.Members.size(),
                               Order.Plan.Suspected, Order.Parameters)
                      .Name;
-  Order.Asked.clear();
+  Order.InFlight.clear();
   promoteChosen(Order, Out);
 }
 
@@ -291,12 +291,12 @@
   struct transition_table : mpl::vector<
     Row<idle, order_started, claiming, then<claim>, none>,
 
-    Row<claiming, row_committed, sealing, then<sealMissing>, when<isTaken>>,
-    Row<claiming, row_committed, resolving, then<readBack>, when<isTaken, false>>,
+    Row<claiming, row_committed, sealing, then<sealRemaining>, when<isClaimStored>>,
+    Row<claiming, row_committed, resolving, then<readBack>, when<isClaimStored, false>>,
     Row<claiming, time_passed, given_up, none, when<isExpired>>,
     Row<claiming, order_abandoned, given_up, none, none>,
 
-    Row<resolving, row_read, sealing, then<sealMissing>, when<isOwnOrder>>,
+    Row<resolving, row_read, sealing, then<sealRemaining>, when<isOwnOrder>>,
     Row<resolving, row_read, claiming, then<claim>, when<mayClaimAgain>>,
     Row<resolving, row_read, superseded, none, when<isOtherOrder>>,
     Row<resolving, time_passed, none, then<readBack>, when<mayRetry>>,
@@ -306,7 +306,7 @@
     Row<sealing, member_answered, promoting, then<choose>, when<isSealedBeforeGrace>>,
     Row<sealing, member_answered, superseded, none, when<isRefused>>,
     Row<sealing, time_passed, promoting, then<choose>, when<isSealedAfterGrace>>,
-    Row<sealing, time_passed, none, then<sealMissing>, when<maySealMore>>,
+    Row<sealing, time_passed, none, then<sealRemaining>, when<maySealMore>>,
     Row<sealing, time_passed, given_up, none, when<isSealingExpired>>,
 
     Row<promoting, member_answered, recording, then<followAndRecord>, when<isPromoted>>,
--- a/packages/data/src/fair_queue.cpp
+++ b/packages/data/src/fair_queue.cpp
@@ -10,7 +10,7 @@
 constexpr int MaxDebtQuanta = 20;
 /// Weight of the latest request in the smoothed cost is 1/CostWeight.
 constexpr int CostWeight = 8;
-constexpr base::milliseconds SmallestRetryAfter{10};
+constexpr base::milliseconds MinRetryAfter{10};
 
 bool isFull(const fair_queue &Queue, const customer_queue &Own) {
   return Queue.Size >= Queue.Settings.MaxTotal ||
@@ -18,8 +18,7 @@
 }
 
 base::milliseconds retryAfter(base::microseconds Wait) {
-  return std::max(SmallestRetryAfter,
-                  std::chrono::ceil<base::milliseconds>(Wait));
+  return std::max(MinRetryAfter, std::chrono::ceil<base::milliseconds>(Wait));
 }
 
 std::optional<queue_ticket> dequeueFifo(fair_queue &Queue) {
@@ -53,19 +52,19 @@
                                 std::size_t Concurrency) {
   const auto Slots =
       static_cast<std::int64_t>(std::max<std::size_t>(1, Concurrency));
-  const base::microseconds All = queuedWork(Queue) / Slots;
+  const base::microseconds FifoWait = queuedWork(Queue) / Slots;
   if (Queue.Settings.Policy == queue_policy::Fifo)
-    return All;
+    return FifoWait;
   const auto Own = Queue.Customers.find(Customer);
   if (Own == Queue.Customers.end() || Own->second.Waiting.empty())
     return std::min(
-        All, Queue.Settings.Quantum *
-                 static_cast<std::int64_t>(Queue.ActiveCustomers.size()) /
-                 Slots);
+        FifoWait, Queue.Settings.Quantum *
+                      static_cast<std::int64_t>(Queue.ActiveCustomers.size()) /
+                      Slots);
   const auto Active = static_cast<std::int64_t>(Queue.ActiveCustomers.size());
-  const base::microseconds Mine =
+  const base::microseconds FairWait =
       Own->second.Cost * Own->second.Waiting.size() * Active / Slots;
-  return std::min(All, Mine);
+  return std::min(FifoWait, FairWait);
 }
 
 enqueue_answer enqueue(fair_queue &Queue, queue_ticket Ticket,
@@ -114,10 +113,10 @@
   const auto SameId = [&](const queue_ticket &Other) {
     return Other.Id == Ticket.Id;
   };
-  const std::size_t Taken = std::erase_if(Own->second.Waiting, SameId);
-  Queue.Size -= Taken;
+  const std::size_t Removed = std::erase_if(Own->second.Waiting, SameId);
+  Queue.Size -= Removed;
   std::erase_if(Queue.Arrivals, SameId);
-  if (Taken != 0 && Own->second.Waiting.empty())
+  if (Removed != 0 && Own->second.Waiting.empty())
     deactivate(Queue, Own->first);
 }
 
--- a/packages/data/src/group_failover.cpp
+++ b/packages/data/src/group_failover.cpp
@@ -45,7 +45,7 @@
 row_committed
 toCommitEvent(const base::result<std::vector<std::uint64_t>> &Done) {
   if (Done && !Done->empty())
-    return {commit_outcome::Taken, Done->front()};
+    return {commit_outcome::Stored, Done->front()};
   const bool Lost = Done.has_error() && kindOf(Done.error()) == errc::Conflict;
   return {Lost ? commit_outcome::Conflict : commit_outcome::Unknown, 0};
 }
@@ -203,7 +203,7 @@
 
 base::task<void> runOrder(order_pointer Order) {
   process(Order, order_started{base::now()});
-  while (!isOver(Order->Machine.step())) {
+  while (!isFinal(Order->Machine.step())) {
     co_await pauseFor(Order->State->Executor, SuperviseInterval);
     if (isObsolete(Order))
       process(Order, order_abandoned{});
--- a/packages/data/src/group_poll.cpp
+++ b/packages/data/src/group_poll.cpp
@@ -139,7 +139,7 @@
   if (Group == nullptr)
     return;
   const auto Before = std::pair(Group->View.Term, Group->View.Primary);
-  observe(Group->View, Reported, AskedAt);
+  observeState(Group->View, Reported, AskedAt);
   observeGroup(Group->Detector, Group->View, base::now());
   perform(State, Name,
           onConfirmAnswer(Group->Confirm, Reported, QueryKind, AskedAt));
--- a/packages/data/src/group_view.cpp
+++ b/packages/data/src/group_view.cpp
@@ -42,8 +42,8 @@
 
 } // namespace
 
-void observe(group_view &View, const endpoint_state &State,
-             base::instant AskedAt) {
+void observeState(group_view &View, const endpoint_state &State,
+                  base::instant AskedAt) {
   member_view *Member = findMember(View, State.Name);
   if (Member == nullptr)
     return;
--- a/packages/data/src/record_retention.cpp
+++ b/packages/data/src/record_retention.cpp
@@ -7,20 +7,20 @@
 
 /// Customer name under which the instance's own statements queue. The sheet
 /// does not allow empty names, so no customer shares it.
-const base::customer_name OwnAccount;
-constexpr base::milliseconds CleaningDeadline{5000};
+const base::customer_name InternalCustomer;
+constexpr base::milliseconds CleanupTimeout{5000};
 
-base::task<void> deleteIn(statement_core &Core, base::group_name Group) {
+base::task<void> deleteExpiredOf(statement_core &Core, base::group_name Group) {
   const group_view *View = Core.Ports.View(Group);
   const std::shared_ptr<dispatcher> Target =
       View == nullptr ? nullptr : primaryOf(Core, *View);
   if (!Target)
     co_return;
   call Call;
-  Call.Customer = OwnAccount;
+  Call.Customer = InternalCustomer;
   Call.Group = Group;
   Call.KeyCheckedAt = Core.ConfigurationChanges;
-  Call.Deadline = base::now() + CleaningDeadline;
+  Call.Deadline = base::now() + CleanupTimeout;
   run_request Request;
   Request.ExpectTerm = View->Term;
   Request.Statements = {deleteExpired(base::wallMilliseconds())};
@@ -36,7 +36,7 @@
 base::task<void> deleteExpiredRecords(statement_core &Core) {
   const auto Groups = control::groupsOf(Core.Ports.Configuration());
   for (const base::group_name &Group : Groups)
-    co_await deleteIn(Core, Group);
+    co_await deleteExpiredOf(Core, Group);
 }
 
 } // namespace redwinggw::data
--- a/packages/data/src/retry_policy.cpp
+++ b/packages/data/src/retry_policy.cpp
@@ -6,16 +6,16 @@
 namespace {
 
 constexpr base::microseconds FirstBackoff{5'000};
-constexpr base::microseconds LongestBackoff{100'000};
+constexpr base::microseconds MaxBackoff{100'000};
 constexpr unsigned FailuresToOpen = 3;
 constexpr base::microseconds FirstOpenTime{100'000};
-constexpr base::microseconds LongestOpenTime{1'000'000};
-constexpr unsigned LargestShift = 10;
+constexpr base::microseconds MaxOpenTime{1'000'000};
+constexpr unsigned MaxShift = 10;
 
 base::microseconds exponentialDelay(base::microseconds First,
                                     base::microseconds Longest, unsigned Times,
                                     double Random) {
-  const unsigned Shift = std::min(Times, LargestShift);
+  const unsigned Shift = std::min(Times, MaxShift);
   const base::microseconds Whole = std::min(Longest, First * (1U << Shift));
   return Whole / 2 + base::microseconds(static_cast<std::int64_t>(
                          Random * static_cast<double>(Whole.count()) / 2));
@@ -36,7 +36,7 @@
 }
 
 base::microseconds backoff(unsigned Try, double Random) {
-  return exponentialDelay(FirstBackoff, LongestBackoff, Try == 0 ? 0 : Try - 1,
+  return exponentialDelay(FirstBackoff, MaxBackoff, Try == 0 ? 0 : Try - 1,
                           Random);
 }
 
@@ -51,7 +51,7 @@
   if (Circuit.Failures < FailuresToOpen)
     return;
   Circuit.OpenUntil =
-      Now + exponentialDelay(FirstOpenTime, LongestOpenTime,
+      Now + exponentialDelay(FirstOpenTime, MaxOpenTime,
                              Circuit.Failures - FailuresToOpen, Random);
 }
 
--- a/packages/data/src/slot_window.cpp
+++ b/packages/data/src/slot_window.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr double ShrinkFactor = 0.85;
-constexpr double SmallestSize = 1;
+constexpr double MinSize = 1;
 /// Queueing delay below this is scheduler noise.
 constexpr base::microseconds QueueingTolerance{1000};
 /// The base delay rises slowly, so that it adapts to a longer network path in
@@ -26,7 +26,7 @@
   if (Now - Window.ShrunkAt < RoundTrip)
     return;
   Window.ShrunkAt = Now;
-  Window.Size = std::max(SmallestSize, Window.Size * ShrinkFactor);
+  Window.Size = std::max(MinSize, Window.Size * ShrinkFactor);
 }
 
 } // namespace
--- a/tests/data/detector_test.cpp
+++ b/tests/data/detector_test.cpp
@@ -20,7 +20,7 @@
   State.Term = Term;
   State.Received = Received;
   State.History = {{1, 0}};
-  observe(View, State, Start + At);
+  observeState(View, State, Start + At);
 }
 
 /// Primary p and replicas a and b, all of which reported at Start.
--- a/tests/data/dispatcher_test.cpp
+++ b/tests/data/dispatcher_test.cpp
@@ -22,7 +22,7 @@
 }
 
 /// Runs everything that is ready, without waiting for timers.
-void settle(asio::io_context &Context) {
+void runReady(asio::io_context &Context) {
   Context.restart();
   Context.poll();
 }
@@ -40,19 +40,19 @@
   for (int Write = 0; Write < 3; ++Write)
     asio::co_spawn(Context, acquireSlot(Dispatcher, SlotsAcquired),
                    asio::detached);
-  settle(Context);
+  runReady(Context);
   cr_assert(SlotsAcquired == 1);
   cr_assert(Dispatcher.waiting() == 2);
   Dispatcher.acquireImmediately("dulce");
   cr_assert(Dispatcher.running() == 2);
   Dispatcher.release("dulce", {}, std::nullopt);
-  settle(Context);
+  runReady(Context);
   cr_assert(SlotsAcquired == 1);
   Dispatcher.release("dulce", {}, std::nullopt);
-  settle(Context);
+  runReady(Context);
   cr_assert(SlotsAcquired == 2);
   Dispatcher.release("dulce", {}, std::nullopt);
-  settle(Context);
+  runReady(Context);
 }
 
 // Guards against requests that are allowed to run by the window and then fail
--- a/tests/data/failover_test.cpp
+++ b/tests/data/failover_test.cpp
@@ -93,7 +93,7 @@
 
 Test(failover, a_promotion_waits_for_a_majority_of_sealed_members) {
   failover Order = newOrder();
-  Order.process(row_committed{commit_outcome::Taken, 8});
+  Order.process(row_committed{commit_outcome::Stored, 8});
   cr_assert(Order.process(sealed("a", 3)).empty());
   cr_assert(Order.step() == failover_step::Sealing);
   cr_assert(Order.process(sealed("b", 4)).size() == 1);
@@ -103,7 +103,7 @@
 
 Test(failover, a_majority_with_the_suspected_primary_waits_for_the_others) {
   failover Order = newOrder();
-  Order.process(row_committed{commit_outcome::Taken, 8});
+  Order.process(row_committed{commit_outcome::Stored, 8});
   Order.process(sealed("p", 9));
   Order.process(sealed("a", 3));
   cr_assert(Order.step() == failover_step::Sealing);
@@ -162,9 +162,9 @@
   Old.Term = 1;
   endpoint_state New = state("a", 8, {{1, 0}, {5, 8}});
   New.Role = endpoint_role::Primary;
-  observe(View, Old, Start);
+  observeState(View, Old, Start);
   cr_assert(membersToReconcile(View).empty());
-  observe(View, New, Start);
+  observeState(View, New, Start);
   const auto Orders = membersToReconcile(View);
   cr_assert(Orders.size() == 1);
   cr_assert(Orders[0].Member.Name == "p" && Orders[0].Term == 5);
--- a/tests/data/group_view_test.cpp
+++ b/tests/data/group_view_test.cpp
@@ -22,7 +22,7 @@
   control::endpoint Endpoint;
   Endpoint.Name = "a";
   setMembers(View, {Endpoint});
-  observe(View, replicaIn(Term), Start);
+  observeState(View, replicaIn(Term), Start);
   return View;
 }
 
@@ -38,7 +38,7 @@
 Test(group_view, a_member_that_lost_its_state_is_observed_again) {
   group_view View = viewInTerm(5);
   observeFailure(View, "a", Start + milliseconds(100));
-  observe(View, replicaIn(1), Start + milliseconds(200));
+  observeState(View, replicaIn(1), Start + milliseconds(200));
   cr_assert(reportedTerm(View) == 1);
   cr_assert(View.Members[0].Failures == 0);
   cr_assert(View.Term == 5);
@@ -46,8 +46,8 @@
 
 Test(group_view, a_late_answer_of_a_lower_term_changes_nothing) {
   group_view View = viewInTerm(5);
-  observe(View, replicaIn(4), Start - milliseconds(100));
+  observeState(View, replicaIn(4), Start - milliseconds(100));
   cr_assert(reportedTerm(View) == 5);
-  observe(View, replicaIn(4), Start + milliseconds(1));
+  observeState(View, replicaIn(4), Start + milliseconds(1));
   cr_assert(reportedTerm(View) == 5);
 }
--- a/tests/data/routing_test.cpp
+++ b/tests/data/routing_test.cpp
@@ -27,11 +27,11 @@
   View.Group = "orders";
   setMembers(View, {endpointIn("p", "a"), endpointIn("r1", "a"),
                     endpointIn("r2", "b")});
-  observe(View, stateOf("p", endpoint_role::Primary, 90),
-          Now - milliseconds(20));
-  observe(View, stateOf("p", endpoint_role::Primary, 100), Now);
-  observe(View, stateOf("r1", endpoint_role::Replica, 90), Now);
-  observe(View, stateOf("r2", endpoint_role::Replica, 90), Now);
+  observeState(View, stateOf("p", endpoint_role::Primary, 90),
+               Now - milliseconds(20));
+  observeState(View, stateOf("p", endpoint_role::Primary, 100), Now);
+  observeState(View, stateOf("r1", endpoint_role::Replica, 90), Now);
+  observeState(View, stateOf("r2", endpoint_role::Replica, 90), Now);
   return View;
 }
 
--- a/tests/matrix/instance_model.cpp
+++ b/tests/matrix/instance_model.cpp
@@ -70,7 +70,7 @@
       if (Command.Version && *Command.Version != Table.Version)
         return data::row_committed{data::commit_outcome::Conflict, 0};
       Table.Value = data::toText(Command.Record);
-      return data::row_committed{data::commit_outcome::Taken, ++Table.Version};
+      return data::row_committed{data::commit_outcome::Stored, ++Table.Version};
     };
     askTable<data::row_committed>(
         World, Instance, Serve,
@@ -162,7 +162,7 @@
   for (const data::failover_command &Command : Commands)
     std::visit(executor{World, Instance}, Command);
   noteStep(World, Instance, Instance.Order->step());
-  if (data::isOver(Instance.Order->step()))
+  if (data::isFinal(Instance.Order->step()))
     Instance.Order.reset();
 }
 
@@ -301,7 +301,7 @@
                 const data::endpoint_state &Reported,
                 std::optional<data::confirm_query_kind> QueryKind,
                 base::instant AskedAt) {
-  observe(Instance.View, Reported, AskedAt);
+  observeState(Instance.View, Reported, AskedAt);
   observeGroup(Instance.Detector, Instance.View, World.Net.Now);
   perform(World, Instance,
           onConfirmAnswer(Instance.Confirm, Reported, QueryKind, AskedAt));
