--- a/packages/redwinggw/src/main.cpp
+++ b/packages/redwinggw/src/main.cpp
@@ -1,5 +1,5 @@
 #include "instance.hpp"
-#include "native_instance.hpp"
+#include "platform_instance.hpp"
 #include "settings.hpp"
 
 #include "redwinggw/base/log.hpp"
@@ -113,7 +113,7 @@
 }
 
 /// Reads the settings again; faulty ones change nothing.
-void reload(native_instance &Instance, const command_line &Line) {
+void reload(platform_instance &Instance, const command_line &Line) {
   if (auto Settings = readSettings(Line))
     Instance.reload(std::move(*Settings));
   else
@@ -121,8 +121,8 @@
               describe(Settings.error()));
 }
 
-void reloadOnSignal(boost::asio::signal_set &Signals, native_instance &Instance,
-                    const command_line &Line) {
+void reloadOnSignal(boost::asio::signal_set &Signals,
+                    platform_instance &Instance, const command_line &Line) {
   Signals.async_wait([&](boost::system::error_code Error, int) {
     if (Error)
       return;
@@ -138,8 +138,8 @@
 }
 
 /// The platform may change the file without a signal.
-void reloadOnChange(boost::asio::steady_timer &Timer, native_instance &Instance,
-                    const command_line &Line,
+void reloadOnChange(boost::asio::steady_timer &Timer,
+                    platform_instance &Instance, const command_line &Line,
                     std::filesystem::file_time_type Known) {
   constexpr std::chrono::seconds LookEvery{2};
   Timer.expires_after(LookEvery);
@@ -153,10 +153,10 @@
   });
 }
 
-int runNative(settings Settings, const command_line &Line) {
+int runPlatformInstance(settings Settings, const command_line &Line) {
   base::startLog(Settings.LogLevel, Settings.LogFormat, Settings.Name);
   boost::asio::io_context Context(1);
-  native_instance Instance(Context, std::move(Settings));
+  platform_instance Instance(Context, std::move(Settings));
   boost::asio::signal_set Stops(Context, SIGTERM, SIGINT);
   Stops.async_wait([&](boost::system::error_code Error, int) {
     if (!Error)
@@ -188,7 +188,7 @@
   if (!Settings)
     return reportFailure(Settings.error());
   if (Settings->Kind == platform_kind::Native && !Line.Check)
-    return runNative(std::move(*Settings), Line);
+    return runPlatformInstance(std::move(*Settings), Line);
   if (Settings->Kind == platform_kind::Native) {
     std::cout << "the settings are valid\n";
     return ExitOk;
--- a/packages/redwinggw/src/native_configuration.cpp
+++ b/packages/redwinggw/src/platform_configuration.cpp
@@ -1,4 +1,4 @@
-#include "native_state.hpp"
+#include "platform_instance_state.hpp"
 
 #include "platform/decoding.hpp"
 
@@ -25,13 +25,13 @@
 constexpr milliseconds ConfigurationSilence{700};
 
 /// For how long a newer configuration than the one in force has been known of.
-std::string millisecondsBehind(const native_state &State) {
+std::string millisecondsBehind(const platform_instance_state &State) {
   const base::instant Since = State.BehindSince.value_or(base::now());
   return std::to_string(
       std::chrono::floor<milliseconds>(base::now() - Since).count());
 }
 
-void noteInForce(native_state &State, std::string_view From) {
+void noteInForce(platform_instance_state &State, std::string_view From) {
   base::logEvent(log_level::Info, log_part::Configuration,
                  "configuration_in_force",
                  {{"version", std::to_string(State.Routes->Version)},
@@ -42,7 +42,7 @@
                   {"behind_ms", millisecondsBehind(State)}});
 }
 
-void noteUnreadConfiguration(native_state &State, base::instant Sent,
+void noteUnreadConfiguration(platform_instance_state &State, base::instant Sent,
                              const base::failure &Reason) {
   counterOf(State.Core.Metrics, base::metric::StoreErrorsTotal,
             {"configuration"})
@@ -59,7 +59,8 @@
 
 /// Puts a configuration in force unless it is older than the one that is.
 /// \p From is the store or an instance, for the log.
-void takeConfiguration(native_state &State, session::stored_configuration Given,
+void takeConfiguration(platform_instance_state &State,
+                       session::stored_configuration Given,
                        std::string_view From) {
   if (Given.Row <= State.Stored.Row || !Given.Text)
     return;
@@ -88,7 +89,7 @@
 }
 
 /// Reads the configuration from the store; false when it did not answer.
-base::task<bool> readConfiguration(native_state &State) {
+base::task<bool> readConfiguration(platform_instance_state &State) {
   const base::instant Sent = base::now();
   const auto Rows = co_await platform::readTable(
       State.Reader, platform::OperatorTable, ConfigurationSilence);
@@ -106,7 +107,7 @@
 
 /// An instance that has a newer configuration, chosen by chance among those of
 /// the own availability zone where there are any; null when there is none.
-const control::member *configurationHolder(native_state &State) {
+const control::member *configurationHolder(platform_instance_state &State) {
   if (!State.Peers)
     return nullptr;
   std::vector<const control::member *> Holders;
@@ -126,7 +127,7 @@
 
 /// Asks another instance for what the store did not give: it may turn this
 /// instance away, or answer from the past.
-base::task<void> askOthers(native_state &State) {
+base::task<void> askOthers(platform_instance_state &State) {
   const control::member *Holder = configurationHolder(State);
   if (Holder == nullptr || !State.RelayLinks)
     co_return;
@@ -137,7 +138,7 @@
 }
 
 /// Whether another instance has a newer configuration; notes since when.
-bool isBehind(native_state &State) {
+bool isBehind(platform_instance_state &State) {
   const bool Behind = newestConfigurationRow(State) > State.Stored.Row;
   if (!Behind)
     State.BehindSince.reset();
@@ -148,7 +149,7 @@
 
 } // namespace
 
-base::task<void> followConfiguration(native_ptr State) {
+base::task<void> followConfiguration(platform_instance_ptr State) {
   while (!State->Stopped) {
     // Where another instance reads, its heartbeats tell of changes.
     if (State->Routes && hasReader(*State) && !isBehind(*State)) {
--- a/packages/redwinggw/src/native_relay.cpp
+++ b/packages/redwinggw/src/platform_endpoint_owners.cpp
@@ -1,4 +1,4 @@
-#include "native_state.hpp"
+#include "platform_instance_state.hpp"
 
 #include "redwinggw/base/log.hpp"
 #include "redwinggw/session/endpoint_owner.hpp"
@@ -20,8 +20,8 @@
 /// them kept, the next owner finds as many as it needs.
 constexpr std::size_t KeptPercent = 45;
 
-std::vector<session::owner_candidate> ownerCandidates(const native_state &State,
-                                                      instant Now) {
+std::vector<session::owner_candidate>
+ownerCandidates(const platform_instance_state &State, instant Now) {
   std::vector<session::owner_candidate> Candidates;
   if (State.Peers)
     Candidates = session::ownersAmong(State.Peers->view(), Now);
@@ -30,12 +30,12 @@
   return Candidates;
 }
 
-bool isOwn(const native_state &State, std::string_view Endpoint) {
+bool isOwn(const platform_instance_state &State, std::string_view Endpoint) {
   const auto Owner = State.Owners.find(Endpoint);
   return Owner == State.Owners.end() || Owner->second == State.Settings.Name;
 }
 
-session::pool_limits limitsFor(const native_state &State,
+session::pool_limits limitsFor(const platform_instance_state &State,
                                const session::endpoint_entry &Entry,
                                std::size_t Accepted) {
   session::pool_limits Limits;
@@ -55,7 +55,8 @@
   return Limits;
 }
 
-void noteOwner(native_state &State, const base::endpoint_name &Endpoint,
+void noteOwner(platform_instance_state &State,
+               const base::endpoint_name &Endpoint,
                const session::owner_candidate *Owner) {
   const base::instance_name Name = Owner == nullptr ? "" : Owner->Name;
   auto &Known = State.Owners[Endpoint];
@@ -69,7 +70,7 @@
 
 /// Each instance works this out alone from who it hears; anew only after a
 /// change, since it takes a draw for each endpoint and instance.
-void assignOwners(native_state &State) {
+void assignOwners(platform_instance_state &State) {
   const instant Now = base::now();
   auto Candidates = ownerCandidates(State, Now);
   const bool Changed = Candidates != State.OwnerCandidates;
@@ -89,7 +90,7 @@
 
 } // namespace
 
-void startRelays(native_state &State, const std::string &Secret) {
+void startRelays(platform_instance_state &State, const std::string &Secret) {
   const auto Executor = State.Context.get_executor();
   State.RelayLinks = std::make_unique<session::relay_links>(
       Executor, State.Endpoints.Watch, Secret);
@@ -103,7 +104,7 @@
               describe(Listening.error()));
 }
 
-void divideConnections(native_state &State) {
+void divideConnections(platform_instance_state &State) {
   if (!State.Routes)
     return;
   assignOwners(State);
@@ -118,7 +119,7 @@
 }
 
 std::unique_ptr<session::relay_link>
-relayTo(native_state &State, const session::endpoint_entry &Entry,
+relayTo(platform_instance_state &State, const session::endpoint_entry &Entry,
         std::string_view Customer, unsigned Priority) {
   if (isOwn(State, Entry.Name) || !State.RelayLinks || !State.Peers)
     return nullptr;
--- a/packages/redwinggw/src/native_endpoints.cpp
+++ b/packages/redwinggw/src/platform_endpoints.cpp
@@ -1,4 +1,4 @@
-#include "native_state.hpp"
+#include "platform_instance_state.hpp"
 
 #include "platform/decoding.hpp"
 
@@ -40,7 +40,8 @@
 /// after a change, and now and then for those that missed it; otherwise that it
 /// is unchanged. Whoever has another list ignores that, and reads for itself
 /// when nothing else comes.
-void relayList(native_state &State, const platform::table_rows &Rows) {
+void relayList(platform_instance_state &State,
+               const platform::table_rows &Rows) {
   const base::instant Now = base::now();
   const bool Unchanged = State.SentList == State.List && State.SentListAt &&
                          Now - *State.SentListAt < RelayAgain;
@@ -61,7 +62,7 @@
   State.SentListAt = Now;
 }
 
-void takeEndpoints(native_state &State,
+void takeEndpoints(platform_instance_state &State,
                    const std::vector<session::endpoint_entry> &Entries,
                    base::instant ReadAt) {
   const auto Changes = applyList(State.Endpoints, Entries, base::now());
@@ -78,7 +79,8 @@
 
 } // namespace
 
-void takeReading(native_state &State, const wire::store_reading &Reading) {
+void takeReading(platform_instance_state &State,
+                 const wire::store_reading &Reading) {
   if (Reading.Kind == wire::reading_kind::EndpointsUnchanged) {
     if (State.ListAt && Reading.Text == digestText(State.List))
       takeEndpoints(State, std::vector(State.List), base::now());
@@ -90,8 +92,8 @@
 
 namespace {
 
-void takeOwnReading(native_state &State, const platform::table_rows &Rows,
-                    base::instant Sent) {
+void takeOwnReading(platform_instance_state &State,
+                    const platform::table_rows &Rows, base::instant Sent) {
   // A reading that took long must not undo a list that was relayed meanwhile.
   if (State.ListAt.value_or(LongAgo) > Sent)
     return;
@@ -102,7 +104,7 @@
 
 } // namespace
 
-base::task<void> followEndpoints(native_ptr State) {
+base::task<void> followEndpoints(platform_instance_ptr State) {
   while (!State->Stopped) {
     const bool Relayed =
         base::now() - State->ListAt.value_or(LongAgo) < RelayCounts;
--- a/packages/redwinggw/src/native_following.cpp
+++ b/packages/redwinggw/src/platform_fleet.cpp
@@ -1,4 +1,4 @@
-#include "native_state.hpp"
+#include "platform_instance_state.hpp"
 
 #include "redwinggw/base/log.hpp"
 #include "redwinggw/control/relays.hpp"
@@ -26,7 +26,7 @@
   return std::string(InstancePrefix).append(Name);
 }
 
-std::string instanceText(const native_state &State) {
+std::string instanceText(const platform_instance_state &State) {
   return json::serialize(json::object{{"zone", State.Settings.Zone},
                                       {"peers", toText(State.Settings.Peers)},
                                       {"capacity", State.Settings.Capacity}});
@@ -64,7 +64,8 @@
 
 /// Makes the fleet's secret. Nothing when another instance was first or the
 /// store did not answer: the row tells whose secret it is.
-base::task<std::optional<std::string>> makeSecret(native_state &State) {
+base::task<std::optional<std::string>>
+makeSecret(platform_instance_state &State) {
   std::string Secret = base::randomId();
   storage::commit_request Request;
   Request.Checks.push_back({std::string(SecretKey), 0});
@@ -75,7 +76,7 @@
   co_return Secret;
 }
 
-base::task<bool> registerInstance(native_state &State) {
+base::task<bool> registerInstance(platform_instance_state &State) {
   storage::commit_request Request;
   Request.Puts.push_back(
       {instanceKey(State.Settings.Name), instanceText(State)});
@@ -83,7 +84,7 @@
       .has_value();
 }
 
-void startPeers(native_state &State, const std::string &Secret) {
+void startPeers(platform_instance_state &State, const std::string &Secret) {
   const control::peer_identity Identity{
       State.Settings.Name, State.Settings.Zone,
       static_cast<std::uint64_t>(base::wallMilliseconds()),
@@ -106,7 +107,8 @@
 
 /// Takes in the system's own rows. True when this instance's row is among
 /// them.
-bool takeFleet(native_state &State, const platform::table_rows &Rows) {
+bool takeFleet(platform_instance_state &State,
+               const platform::table_rows &Rows) {
   std::vector<storage::listed_instance> Listed;
   State.InstanceRows.clear();
   for (const platform::table_row &Row : Rows.Rows) {
@@ -127,7 +129,7 @@
 /// How long a reading that news asks for waits after the last one: all
 /// instances hear of a new one at about the same time, and where many start at
 /// once each would read for each.
-milliseconds wantedReadInterval(const native_state &State) {
+milliseconds wantedReadInterval(const platform_instance_state &State) {
   constexpr milliseconds ForEachMember{5};
   constexpr milliseconds Longest{1500};
   const std::size_t Members = State.Peers->view().Members.size();
@@ -136,7 +138,7 @@
                                          : milliseconds(0);
 }
 
-bool hearsSomebody(const native_state &State) {
+bool hearsSomebody(const platform_instance_state &State) {
   const auto &View = State.Peers->view();
   return std::ranges::any_of(View.Members, [&](const control::member &Member) {
     return isHeardDirectly(View, Member, base::now());
@@ -146,7 +148,7 @@
 /// How often the system's own rows are read: rarely while a majority of the
 /// others is heard, whose heartbeats tell all that is in the rows. Without
 /// them the rows are the only way to learn of a promotion.
-milliseconds fleetReadInterval(const native_state &State) {
+milliseconds fleetReadInterval(const platform_instance_state &State) {
   // Reads of all instances together stay at five a second.
   constexpr std::size_t FewInstances = 16;
   const std::size_t Members = State.Peers->view().Members.size();
@@ -162,7 +164,7 @@
 
 /// Removes rows of instances that were not heard for long: nothing in the
 /// store expires, and they would count for majorities and shares for good.
-base::task<void> removeDeadInstances(native_state &State) {
+base::task<void> removeDeadInstances(platform_instance_state &State) {
   constexpr milliseconds GoneAfter{8000};
   // Two entries of a call for each; the store takes a hundred.
   constexpr std::size_t MostAtOnce = 40;
@@ -191,7 +193,7 @@
 
 } // namespace
 
-base::task<void> pauseAbout(native_state &State, milliseconds Time) {
+base::task<void> pauseAbout(platform_instance_state &State, milliseconds Time) {
   constexpr int Spread = 10;
   std::uniform_int_distribution<std::int64_t> Offset(-Time.count() / Spread,
                                                      Time.count() / Spread);
@@ -200,7 +202,7 @@
   co_await Timer.async_wait(asio::as_tuple(asio::use_awaitable));
 }
 
-base::task<void> removeInstance(native_state &State) {
+base::task<void> removeInstance(platform_instance_state &State) {
   // From here on a reading of the fleet must not register it again.
   State.Stopped = true;
   storage::commit_request Request;
@@ -215,7 +217,8 @@
 
 namespace {
 
-base::task<std::optional<platform::table_rows>> readRows(native_state &State) {
+base::task<std::optional<platform::table_rows>>
+readRows(platform_instance_state &State) {
   State.FleetReadWanted = false;
   auto Rows = co_await platform::readTable(State.Reader, platform::OwnTable,
                                            ReadSilence);
@@ -228,7 +231,7 @@
 
 /// Takes in rows that were asked for at \p Sent. True when this instance's row
 /// is among them.
-bool noteRows(native_state &State, const platform::table_rows &Rows,
+bool noteRows(platform_instance_state &State, const platform::table_rows &Rows,
               base::instant Sent) {
   const bool Listed = takeFleet(State, Rows);
   State.Peers->noteStoreRead(Sent, base::now(), State.Claims.Version);
@@ -239,11 +242,12 @@
 /// Whether this instance's row is as it has to be. A process that starts again
 /// finds it so and writes nothing: the store takes writes one after the other,
 /// and where all start at once they would wait for each other.
-bool isRegistered(const native_state &State, const platform::table_rows &Rows) {
+bool isRegistered(const platform_instance_state &State,
+                  const platform::table_rows &Rows) {
   return valueAt(Rows, instanceKey(State.Settings.Name)) == instanceText(State);
 }
 
-base::task<bool> tryToJoin(native_state &State) {
+base::task<bool> tryToJoin(platform_instance_state &State) {
   const base::instant Sent = base::now();
   const auto Rows = co_await readRows(State);
   if (!Rows)
@@ -265,7 +269,8 @@
 
 /// Waits until the rows are due to be read again. News of a change or of a new
 /// instance makes them due sooner.
-base::task<void> pauseBetweenReads(native_state &State, bool Answered) {
+base::task<void> pauseBetweenReads(platform_instance_state &State,
+                                   bool Answered) {
   const base::instant Since = base::now();
   const milliseconds Pause = Answered ? fleetReadInterval(State) : RetryAfter;
   const milliseconds Wanted = wantedReadInterval(State);
@@ -276,7 +281,7 @@
 
 } // namespace
 
-base::task<void> joinFleet(native_ptr State) {
+base::task<void> joinFleet(platform_instance_ptr State) {
   bool Joined = false;
   while (!Joined && !State->Stopped) {
     Joined = co_await tryToJoin(*State);
@@ -287,7 +292,8 @@
   co_await followFleet(State);
 }
 
-base::task<std::optional<platform::table_rows>> readFleet(native_state &State) {
+base::task<std::optional<platform::table_rows>>
+readFleet(platform_instance_state &State) {
   const base::instant Sent = base::now();
   auto Rows = co_await readRows(State);
   if (!Rows)
@@ -298,7 +304,7 @@
   co_return std::move(Rows);
 }
 
-base::task<void> followFleet(native_ptr State) {
+base::task<void> followFleet(platform_instance_ptr State) {
   bool Answered = true;
   while (!State->Stopped) {
     co_await pauseBetweenReads(*State, Answered);
--- a/packages/redwinggw/src/native_handover.cpp
+++ b/packages/redwinggw/src/platform_handover.cpp
@@ -1,4 +1,4 @@
-#include "native_state.hpp"
+#include "platform_instance_state.hpp"
 
 #include "platform/promoter.hpp"
 
@@ -31,7 +31,7 @@
             "Service " + Service + ": " + Text);
 }
 
-std::optional<instant> missingSince(native_state &State,
+std::optional<instant> missingSince(platform_instance_state &State,
                                     const base::endpoint_name &Name) {
   if (findEndpoint(State.Endpoints.Directory, Name) != nullptr) {
     State.Missing.erase(Name);
@@ -40,7 +40,7 @@
   return State.Missing.try_emplace(Name, base::now()).first->second;
 }
 
-session::handover_view viewOf(native_state &State,
+session::handover_view viewOf(platform_instance_state &State,
                               const base::service_name &Service) {
   session::handover_view View;
   View.Claim = findClaim(State.Claims, Service);
@@ -80,7 +80,8 @@
 }
 
 /// The orderer's row as text: its name, its incarnation and the token.
-std::string ordererText(const native_state &State, std::uint64_t Token) {
+std::string ordererText(const platform_instance_state &State,
+                        std::uint64_t Token) {
   return State.Settings.Name + " " +
          std::to_string(State.Peers->view().Self.Incarnation) + " " +
          std::to_string(Token);
@@ -88,7 +89,8 @@
 
 /// The token under which this instance may order: the present one if it is
 /// the orderer already, the next one otherwise.
-std::uint64_t tokenFor(const native_state &State, const std::string &Text) {
+std::uint64_t tokenFor(const platform_instance_state &State,
+                       const std::string &Text) {
   const std::size_t Space = Text.rfind(' ');
   if (Space == std::string::npos)
     return 1;
@@ -114,9 +116,9 @@
 
 /// Claims the move of \p Service in the store. Nothing when another instance
 /// was first or the store did not answer.
-base::task<std::optional<claimed_move>> claimMove(native_state &State,
-                                                  base::service_name Service,
-                                                  base::endpoint_name Primary) {
+base::task<std::optional<claimed_move>>
+claimMove(platform_instance_state &State, base::service_name Service,
+          base::endpoint_name Primary) {
   const auto Rows = co_await readFleet(State);
   if (!Rows)
     co_return std::nullopt;
@@ -149,7 +151,7 @@
 }
 
 /// Notes who has acknowledged \p Claim.
-void observeAcknowledgements(const native_state &State,
+void observeAcknowledgements(const platform_instance_state &State,
                              const primary_claim &Claim,
                              session::move_acknowledgements &Acknowledged) {
   const auto &Members = State.Peers->view().Members;
@@ -165,14 +167,15 @@
 
 /// Whether no later claim of the service is known: another orderer may have
 /// taken over from this one, whose order would come after that one's.
-bool isCurrent(const native_state &State, const primary_claim &Claim) {
+bool isCurrent(const platform_instance_state &State,
+               const primary_claim &Claim) {
   const auto *Known = findClaim(State.Claims, Claim.Service);
   return Known != nullptr && Known->Claim.Epoch == Claim.Epoch;
 }
 
 /// Waits until nobody uses the old primary any more. False when it took too
 /// long.
-base::task<bool> awaitAcknowledgements(native_state &State,
+base::task<bool> awaitAcknowledgements(platform_instance_state &State,
                                        const primary_claim &Claim,
                                        instant Deadline) {
   session::move_acknowledgements Acknowledged;
@@ -189,7 +192,7 @@
 
 /// The states of the endpoints that could take over.
 base::task<std::vector<session::move_candidate>>
-askCandidates(native_state &State, const primary_claim &Claim) {
+askCandidates(platform_instance_state &State, const primary_claim &Claim) {
   std::vector<session::endpoint_entry> Entries;
   for (const session::endpoint_entry *Entry :
        endpointsOf(State.Endpoints.Directory, Claim.Service))
@@ -208,7 +211,7 @@
 /// What the old primary has, if it still answers. All instances have given it
 /// up, so it gets nothing more that is acknowledged.
 base::task<std::optional<session::endpoint_status>>
-askOldPrimary(native_state &State, const primary_claim &Claim) {
+askOldPrimary(platform_instance_state &State, const primary_claim &Claim) {
   const auto *Entry = findEndpoint(State.Endpoints.Directory, Claim.Primary);
   if (Entry == nullptr)
     co_return std::nullopt;
@@ -219,7 +222,7 @@
 
 /// Chooses who takes over, waiting for a replica to receive what the old
 /// primary still tells. Empty when there is nobody.
-base::task<base::endpoint_name> findTarget(native_state &State,
+base::task<base::endpoint_name> findTarget(platform_instance_state &State,
                                            const primary_claim &Claim) {
   const auto Old = co_await askOldPrimary(State, Claim);
   std::optional<session::log_point> Needed;
@@ -240,8 +243,9 @@
 }
 
 /// Orders the promotion until it is accepted or refused.
-base::task<bool> promote(native_state &State, const primary_claim &Claim,
-                         base::endpoint_name Target, instant Deadline) {
+base::task<bool> promote(platform_instance_state &State,
+                         const primary_claim &Claim, base::endpoint_name Target,
+                         instant Deadline) {
   while (base::now() < Deadline && isCurrent(State, Claim)) {
     platform::promotion_order Order{Claim.Service, Target, Claim.Orderer,
                                     Claim.Token};
@@ -259,7 +263,8 @@
 }
 
 /// Waits until \p Target leads. False when it does not come to that.
-base::task<bool> awaitLead(native_state &State, const primary_claim &Claim,
+base::task<bool> awaitLead(platform_instance_state &State,
+                           const primary_claim &Claim,
                            base::endpoint_name Target, instant Deadline) {
   while (base::now() < Deadline && isCurrent(State, Claim)) {
     const auto *Entry = findEndpoint(State.Endpoints.Directory, Target);
@@ -276,7 +281,7 @@
 
 /// Tells the instances who the primary is, then the store: it may be down, and
 /// the instances need not wait for it.
-base::task<void> finishMove(native_state &State, primary_claim Claim,
+base::task<void> finishMove(platform_instance_state &State, primary_claim Claim,
                             base::endpoint_name Target) {
   const std::uint64_t Epoch = Claim.Epoch;
   Claim.Primary = std::move(Target);
@@ -308,7 +313,8 @@
 }
 
 /// Carries a claimed move out.
-base::task<bool> carryOut(native_state &State, const claimed_move &Move) {
+base::task<bool> carryOut(platform_instance_state &State,
+                          const claimed_move &Move) {
   const primary_claim &Claim = Move.Claim;
   const instant Deadline = base::now() + MoveTime;
   const bool Fenced = co_await awaitAcknowledgements(State, Claim, Deadline);
@@ -341,8 +347,8 @@
   co_return true;
 }
 
-base::task<void> movePrimary(native_ptr State, base::service_name Service,
-                             move_cause Cause) {
+base::task<void> movePrimary(platform_instance_ptr State,
+                             base::service_name Service, move_cause Cause) {
   const base::endpoint_name Primary = primaryOf(*State, Service);
   const instant Begun = base::now();
   const auto Move = co_await claimMove(*State, Service, Primary);
@@ -361,7 +367,7 @@
   State->Moving.erase(Service);
 }
 
-void guard(native_ptr State, const base::service_name &Service) {
+void guard(platform_instance_ptr State, const base::service_name &Service) {
   const base::endpoint_name Primary = primaryOf(*State, Service);
   probeIfInDoubt(State, Primary);
   const auto *Known = findClaim(State->Claims, Service);
@@ -381,7 +387,7 @@
 
 } // namespace
 
-base::task<void> guardPrimaries(native_ptr State) {
+base::task<void> guardPrimaries(platform_instance_ptr State) {
   while (!State->Stopped) {
     if (State->Peers && State->Routes && State->FleetReadAt) {
       const session::route_table_ptr Table = State->Routes;
--- a/packages/redwinggw/src/native_news.cpp
+++ b/packages/redwinggw/src/platform_heartbeats.cpp
@@ -1,4 +1,4 @@
-#include "native_state.hpp"
+#include "platform_instance_state.hpp"
 
 #include "redwinggw/base/log.hpp"
 #include "redwinggw/control/gathered_rates.hpp"
@@ -19,13 +19,14 @@
   return Member.State == control::member_state::Alive;
 }
 
-bool readsForOthers(const native_state &State, const control::member &Member,
-                    instant Now) {
+bool readsForOthers(const platform_instance_state &State,
+                    const control::member &Member, instant Now) {
   return isUp(Member) && readsStore(State.Peers->view(), Member, Now);
 }
 
 /// The agreements on primaries, and this instance's suspicions.
-std::vector<wire::group_report> groupReports(const native_state &State) {
+std::vector<wire::group_report>
+groupReports(const platform_instance_state &State) {
   auto Reports = session::reportsOf(State.Claims);
   if (!State.Routes)
     return Reports;
@@ -46,7 +47,8 @@
 
 /// The newest sample of each service's log, whoever took it: a relay passes on
 /// those of the others.
-std::vector<wire::position_report> positionReports(const native_state &State) {
+std::vector<wire::position_report>
+positionReports(const platform_instance_state &State) {
   // Older than any bound in use: of no value to anybody.
   constexpr milliseconds Oldest{3000};
   std::vector<wire::position_report> Reports;
@@ -65,7 +67,8 @@
 }
 
 /// How many of the instances that report here cannot work with each primary.
-std::vector<wire::suspicion_count> suspicionsHere(const native_state &State) {
+std::vector<wire::suspicion_count>
+suspicionsHere(const platform_instance_state &State) {
   std::map<std::pair<std::string, std::string>, std::uint16_t> Counts;
   for (const control::member &Member : State.Peers->view().Members)
     if (isUp(Member) && control::reportsHere(Member))
@@ -83,14 +86,14 @@
 /// claim of the service, and must not tell that those who know of it are up:
 /// whoever counted them would not know what they know. Afterwards the claim is
 /// told again with the next heartbeats.
-bool passesOn(const native_state &State) {
+bool passesOn(const platform_instance_state &State) {
   constexpr milliseconds ToldAgainWithin{450};
   return State.Ordering.empty() &&
          (State.OrderedAt == instant::min() ||
           base::now() - State.OrderedAt > ToldAgainWithin);
 }
 
-void completeDigests(native_state &State) {
+void completeDigests(platform_instance_state &State) {
   wire::fleet_digest Zone;
   wire::fleet_digest Fleet;
   if (State.Peers->view().Relay && usesRelays(State.Peers->view())) {
@@ -102,7 +105,8 @@
   State.Peers->passOn(passesOn(State));
 }
 
-void completeHeartbeat(native_state &State, wire::peer_report &Report) {
+void completeHeartbeat(platform_instance_state &State,
+                       wire::peer_report &Report) {
   const instant Now = base::now();
   Report.Demands = announceDemand(State.Shares, Now);
   Report.Positions = positionReports(State);
@@ -119,7 +123,8 @@
 
 /// An agreement that another instance knows of. The token is in the store only:
 /// whoever orders next reads it there.
-void takeGroup(native_state &State, const wire::group_report &Report) {
+void takeGroup(platform_instance_state &State,
+               const wire::group_report &Report) {
   if (Report.Term == 0)
     return;
   session::primary_claim Claim;
@@ -131,7 +136,8 @@
   takeClaim(State, Claim);
 }
 
-void takePositions(native_state &State, const control::member &Member) {
+void takePositions(platform_instance_state &State,
+                   const control::member &Member) {
   if (!Member.ReportAt || !State.Routes)
     return;
   const instant Now = base::now();
@@ -146,7 +152,7 @@
                   Now);
 }
 
-void takeReport(native_state &State, const control::member &Member) {
+void takeReport(platform_instance_state &State, const control::member &Member) {
   for (const wire::group_report &Report : Member.Report.Groups)
     takeGroup(State, Report);
   takePositions(State, Member);
@@ -157,14 +163,14 @@
 
 } // namespace
 
-void tellClaims(native_state &State) {
+void tellClaims(platform_instance_state &State) {
   if (!State.Peers)
     return;
   State.Peers->setVersion(State.Claims.Version);
   State.Peers->tellGroups(groupReports(State));
 }
 
-void connectPeers(native_state &State) {
+void connectPeers(platform_instance_state &State) {
   State.Peers->completeHeartbeats([&State](wire::peer_report &Report) {
     completeHeartbeat(State, Report);
   });
@@ -177,7 +183,7 @@
   State.Peers->onStranger([&State] { State.FleetReadWanted = true; });
 }
 
-bool isReader(const native_state &State) {
+bool isReader(const platform_instance_state &State) {
   if (!State.Peers)
     return true;
   if (State.Draining && hasReader(State))
@@ -190,7 +196,7 @@
   });
 }
 
-bool hasReader(const native_state &State) {
+bool hasReader(const platform_instance_state &State) {
   if (!State.Peers)
     return false;
   const instant Now = base::now();
@@ -202,7 +208,7 @@
   });
 }
 
-std::uint64_t newestConfigurationRow(const native_state &State) {
+std::uint64_t newestConfigurationRow(const platform_instance_state &State) {
   std::uint64_t Newest = 0;
   if (State.Peers)
     for (const control::member &Member : State.Peers->view().Members)
@@ -214,7 +220,7 @@
 
 /// Suspicions of \p Primary that the relay of an availability zone counted.
 /// Both relays of a zone count the same ones.
-std::size_t countRelayedSuspects(const native_state &State,
+std::size_t countRelayedSuspects(const platform_instance_state &State,
                                  std::string_view Service,
                                  std::string_view Primary) {
   std::map<base::zone_name, std::size_t> Zones;
@@ -234,7 +240,8 @@
 
 } // namespace
 
-std::size_t countSuspects(const native_state &State, std::string_view Service) {
+std::size_t countSuspects(const platform_instance_state &State,
+                          std::string_view Service) {
   std::size_t Count = suspects(State, Service) ? 1 : 0;
   // Reports may still speak of a primary that was replaced meanwhile.
   const base::endpoint_name Primary = primaryOf(State, Service);
--- a/packages/redwinggw/src/native_instance.cpp
+++ b/packages/redwinggw/src/platform_instance.cpp
@@ -1,4 +1,4 @@
-#include "native_state.hpp"
+#include "platform_instance_state.hpp"
 
 #include "platform/database_link.hpp"
 
@@ -27,7 +27,8 @@
             "Instance is " + std::string(kernel::lifeStateName(State)) + ".");
 }
 
-base::task<http::response> answerReadiness(const native_state &State) {
+base::task<http::response>
+answerReadiness(const platform_instance_state &State) {
   http::response Response;
   constexpr unsigned Unavailable = 503;
   if (!isReady(State))
@@ -37,7 +38,7 @@
   co_return Response;
 }
 
-void collectNativeMetrics(native_state &State) {
+void collectPlatformMetrics(platform_instance_state &State) {
   using base::metric;
   base::metrics &Metrics = State.Core.Metrics;
   observeProcess(Metrics);
@@ -69,9 +70,9 @@
       static_cast<double>(Traffic.ReceivedBytes);
 }
 
-base::task<http::response> answerMetrics(native_state &State) {
+base::task<http::response> answerMetrics(platform_instance_state &State) {
   http::response Response;
-  collectNativeMetrics(State);
+  collectPlatformMetrics(State);
   Response.ContentType = "text/plain";
   Response.Body = toPrometheus(State.Core.Metrics);
   co_return Response;
@@ -92,21 +93,21 @@
 
 /// Closes idle sessions a few at a time, so that they do not all come back to
 /// the other instances at once.
-void closeSomeIdle(native_state &State, base::microseconds Elapsed) {
+void closeSomeIdle(platform_instance_state &State, base::microseconds Elapsed) {
   constexpr std::size_t Rounds = 6;
   const bool Late = Elapsed >= TransactionsEnd;
   const std::size_t Open = State.Callers.open();
   State.Callers.closeIdle(Late ? Open : Open / Rounds + 1);
 }
 
-base::task<void> leaveFleet(native_state &State) {
+base::task<void> leaveFleet(platform_instance_state &State) {
   if (!State.Peers)
     co_return;
   co_await removeInstance(State);
   State.Peers->stop();
 }
 
-base::task<void> drainNative(native_ptr State) {
+base::task<void> drainPlatformInstance(platform_instance_ptr State) {
   const base::instant Begun = base::now();
   if (State->Peers)
     State->Peers->drain();
@@ -137,7 +138,8 @@
 
 } // namespace
 
-native_state::native_state(asio::io_context &Context, redwinggw::settings Given)
+platform_instance_state::platform_instance_state(asio::io_context &Context,
+                                                 redwinggw::settings Given)
     : Context(Context), Settings(std::move(Given)),
       Store{Context.get_executor(), Settings.Platform, Settings.Name,
             Settings.PlatformTimeout},
@@ -158,24 +160,24 @@
   Endpoints.Factory =
       platform::databaseLinks(Context.get_executor(), Endpoints.Watch);
   platform::useRows(Store, Settings.Platform);
-  Core.Ports = nativePorts(*this);
+  Core.Ports = sessionCorePorts(*this);
 }
 
-bool isCutOff(const native_state &State) {
+bool isCutOff(const platform_instance_state &State) {
   return State.OutOfTouchSince &&
          base::now() - *State.OutOfTouchSince > CutOffAfter;
 }
 
-bool isReady(const native_state &State) {
+bool isReady(const platform_instance_state &State) {
   return State.Listening && !State.Draining && !isCutOff(State);
 }
 
-session::core_ports nativePorts(native_state &State) {
+session::core_ports sessionCorePorts(platform_instance_state &State) {
   session::core_ports Ports;
   Ports.Routes = [&State] { return State.Routes; };
   Ports.Admit = [&State](base::customer_name Customer, unsigned Priority,
                          base::microseconds Patience) {
-    return admitNative(State, std::move(Customer), Priority, Patience);
+    return admitOperation(State, std::move(Customer), Priority, Patience);
   };
   Ports.Settle = [&State](std::string_view Customer, bool Ran) {
     settleDemandToken(State.Shares, Customer, Ran, base::now());
@@ -202,7 +204,7 @@
 /// An instance that may not use primaries can serve little: callers do better
 /// elsewhere. Those with sessions here come back through the balancer, which
 /// sends no one to an instance that is not ready.
-void noteTouch(native_state &State) {
+void noteTouch(platform_instance_state &State) {
   if (isInTouch(State)) {
     State.OutOfTouchSince.reset();
     return;
@@ -215,7 +217,7 @@
 }
 
 /// Callers are taken once there is a configuration to serve them by.
-void openToCallers(native_state &State) {
+void openToCallers(platform_instance_state &State) {
   if (State.Listening || !State.Routes || !State.ListAt || !State.FleetReadAt)
     return;
   State.Listening = true;
@@ -226,7 +228,7 @@
 
 } // namespace
 
-base::task<void> keepNativeHouse(native_ptr State) {
+base::task<void> runPlatformHousekeeping(platform_instance_ptr State) {
   while (true) {
     base::flushLog();
     noteTouch(*State);
@@ -239,12 +241,14 @@
   }
 }
 
-native_instance::native_instance(asio::io_context &Context, settings Settings)
-    : State(std::make_shared<native_state>(Context, std::move(Settings))) {}
+platform_instance::platform_instance(asio::io_context &Context,
+                                     settings Settings)
+    : State(std::make_shared<platform_instance_state>(Context,
+                                                      std::move(Settings))) {}
 
-native_instance::~native_instance() = default;
+platform_instance::~platform_instance() = default;
 
-base::result<void> native_instance::start() {
+base::result<void> platform_instance::start() {
   if (const auto Listening = State->Readiness.listen(State->Settings.Readiness);
       !Listening)
     return Listening.error();
@@ -256,20 +260,20 @@
   asio::co_spawn(Executor, followConfiguration(State), asio::detached);
   asio::co_spawn(Executor, followEndpoints(State), asio::detached);
   asio::co_spawn(Executor, guardPrimaries(State), asio::detached);
-  asio::co_spawn(Executor, keepNativeHouse(State), asio::detached);
+  asio::co_spawn(Executor, runPlatformHousekeeping(State), asio::detached);
   State->Life.process(kernel::life_event::Ready);
   return {};
 }
 
-void native_instance::stop() {
+void platform_instance::stop() {
   if (State->Draining)
     return;
   State->Draining = true;
   State->Life.process(kernel::life_event::Stop);
-  asio::co_spawn(State->Context, drainNative(State), asio::detached);
+  asio::co_spawn(State->Context, drainPlatformInstance(State), asio::detached);
 }
 
-void native_instance::reload(settings Settings) {
+void platform_instance::reload(settings Settings) {
   // Addresses and names are in use; they change with the next start.
   base::setLogLevel(Settings.LogLevel);
   State->Settings.LogLevel = Settings.LogLevel;
--- a/packages/redwinggw/src/native_instance.hpp
+++ b/packages/redwinggw/src/platform_instance.hpp
@@ -9,15 +9,15 @@
 /// An entry instance on the users' platform.
 namespace redwinggw {
 
-struct native_state;
+struct platform_instance_state;
 
 /// Used from one thread; \p Context must be run after start.
-class native_instance {
+class platform_instance {
 public:
-  native_instance(boost::asio::io_context &Context, settings Settings);
-  native_instance(const native_instance &) = delete;
-  native_instance &operator=(const native_instance &) = delete;
-  ~native_instance();
+  platform_instance(boost::asio::io_context &Context, settings Settings);
+  platform_instance(const platform_instance &) = delete;
+  platform_instance &operator=(const platform_instance &) = delete;
+  ~platform_instance();
 
   /// Opens the addresses and begins to join the fleet. Fails with
   /// errc::BadSettings when an address cannot be used.
@@ -30,7 +30,7 @@
   void reload(settings Settings);
 
 private:
-  std::shared_ptr<native_state> State;
+  std::shared_ptr<platform_instance_state> State;
 };
 
 } // namespace redwinggw
--- a/packages/redwinggw/src/native_state.hpp
+++ b/packages/redwinggw/src/platform_instance_state.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "native_instance.hpp"
+#include "platform_instance.hpp"
 
 #include "platform/caller_listener.hpp"
 #include "platform/row_store.hpp"
@@ -30,8 +30,9 @@
 /// All services of one native process.
 namespace redwinggw {
 
-struct native_state : std::enable_shared_from_this<native_state> {
-  native_state(boost::asio::io_context &Context, settings Settings);
+struct platform_instance_state
+    : std::enable_shared_from_this<platform_instance_state> {
+  platform_instance_state(boost::asio::io_context &Context, settings Settings);
 
   boost::asio::io_context &Context;
   settings Settings;
@@ -123,112 +124,119 @@
 constexpr base::milliseconds RetryAfter{250};
 /// @}
 
-using native_ptr = std::shared_ptr<native_state>;
+using platform_instance_ptr = std::shared_ptr<platform_instance_state>;
 
 /// Whether this instance has been unable to use primaries for a while.
-bool isCutOff(const native_state &State);
+bool isCutOff(const platform_instance_state &State);
 /// Whether callers may be sent here.
-bool isReady(const native_state &State);
+bool isReady(const platform_instance_state &State);
 
 /// \name Loops, each run as a coroutine until the instance stops
 /// @{
 /// Makes or reads the fleet's secret, registers this instance, and starts the
 /// services that need both.
-base::task<void> joinFleet(native_ptr State);
-base::task<void> followFleet(native_ptr State);
-base::task<void> followConfiguration(native_ptr State);
-base::task<void> followEndpoints(native_ptr State);
+base::task<void> joinFleet(platform_instance_ptr State);
+base::task<void> followFleet(platform_instance_ptr State);
+base::task<void> followConfiguration(platform_instance_ptr State);
+base::task<void> followEndpoints(platform_instance_ptr State);
 /// Probes primaries in doubt and moves those that failed or leave.
-base::task<void> guardPrimaries(native_ptr State);
-base::task<void> keepNativeHouse(native_ptr State);
+base::task<void> guardPrimaries(platform_instance_ptr State);
+base::task<void> runPlatformHousekeeping(platform_instance_ptr State);
 /// @}
 
 /// \name Asking endpoints
 /// @{
 /// Asks an endpoint for its state over a fresh connection.
-base::task<session::status_exchange> askStatus(native_state &State,
+base::task<session::status_exchange> askStatus(platform_instance_state &State,
                                                session::endpoint_entry Entry,
                                                base::milliseconds Time);
 /// Probes a primary when statements speak against it or get no answer.
-void probeIfInDoubt(native_ptr State, const base::endpoint_name &Name);
+void probeIfInDoubt(platform_instance_ptr State,
+                    const base::endpoint_name &Name);
 /// @}
 
 /// \name What instances tell each other
 /// @{
 /// Connects the peers' service with the rest.
-void connectPeers(native_state &State);
+void connectPeers(platform_instance_state &State);
 /// Puts the agreements on primaries into the heartbeats from now on.
-void tellClaims(native_state &State);
+void tellClaims(platform_instance_state &State);
 /// Whether this instance reads the store for the others: the first by name of
 /// those that are up and have had an answer of the store lately.
-bool isReader(const native_state &State);
+bool isReader(const platform_instance_state &State);
 /// Whether somebody who is up reads the store for this instance.
-bool hasReader(const native_state &State);
+bool hasReader(const platform_instance_state &State);
 /// The newest row of the configuration that an instance has in force.
-std::uint64_t newestConfigurationRow(const native_state &State);
+std::uint64_t newestConfigurationRow(const platform_instance_state &State);
 /// Instances that suspect the primary of \p Service, this one included.
-std::size_t countSuspects(const native_state &State, std::string_view Service);
+std::size_t countSuspects(const platform_instance_state &State,
+                          std::string_view Service);
 /// @}
 
 /// \name The right to use primaries
 /// @{
 /// Whether this instance would have learned of a promotion by now.
-bool isInTouch(native_state &State);
+bool isInTouch(platform_instance_state &State);
 /// Notes the outcome of a call to the store, and logs a change.
-void noteStore(native_state &State, bool Answered, std::string_view Reason);
-std::optional<session::primary_right> rightTo(native_state &State,
+void noteStore(platform_instance_state &State, bool Answered,
+               std::string_view Reason);
+std::optional<session::primary_right> rightTo(platform_instance_state &State,
                                               std::string_view Service);
 /// The endpoint in use as the primary of \p Service; empty when there is none.
-base::endpoint_name primaryOf(const native_state &State,
+base::endpoint_name primaryOf(const platform_instance_state &State,
                               std::string_view Service);
-std::optional<base::milliseconds> primaryExpected(const native_state &State,
-                                                  std::string_view Service);
+std::optional<base::milliseconds>
+primaryExpected(const platform_instance_state &State, std::string_view Service);
 /// Takes in an agreement; false when it is old.
-bool takeClaim(native_state &State, const session::primary_claim &Claim);
+bool takeClaim(platform_instance_state &State,
+               const session::primary_claim &Claim);
 /// Whether this instance cannot work with the primary of \p Service.
-bool suspects(const native_state &State, std::string_view Service);
+bool suspects(const platform_instance_state &State, std::string_view Service);
 /// @}
 
 /// Takes in what another instance has read from the store.
-void takeReading(native_state &State, const wire::store_reading &Reading);
+void takeReading(platform_instance_state &State,
+                 const wire::store_reading &Reading);
 /// Reads the system's own rows and takes them in. Nothing when the store did
 /// not answer.
-base::task<std::optional<platform::table_rows>> readFleet(native_state &State);
+base::task<std::optional<platform::table_rows>>
+readFleet(platform_instance_state &State);
 
 /// Removes this instance's row: it has stopped and counts no more.
-base::task<void> removeInstance(native_state &State);
+base::task<void> removeInstance(platform_instance_state &State);
 
 /// \name Customers' rates
 /// @{
 /// Takes an operation of the customer's rate, with tokens of another instance
 /// where the own ones do not suffice.
-base::task<session::admission> admitNative(native_state &State,
-                                           std::string Customer,
-                                           unsigned Priority,
-                                           base::microseconds Patience);
+base::task<session::admission> admitOperation(platform_instance_state &State,
+                                              std::string Customer,
+                                              unsigned Priority,
+                                              base::microseconds Patience);
 /// Starts to lend tokens.
-void connectLending(native_state &State);
+void connectLending(platform_instance_state &State);
 /// @}
 
 /// \name Connections to endpoints
 /// @{
 /// Starts to take statements of other instances and to pass on own ones.
-void startRelays(native_state &State, const std::string &Secret);
+void startRelays(platform_instance_state &State, const std::string &Secret);
 /// Works out anew who owns each endpoint's connections, and how many this
 /// instance may hold.
-void divideConnections(native_state &State);
+void divideConnections(platform_instance_state &State);
 /// The way to an endpoint through its owner; null when this instance is the
 /// owner or the owner cannot be used now.
 std::unique_ptr<session::relay_link>
-relayTo(native_state &State, const session::endpoint_entry &Entry,
+relayTo(platform_instance_state &State, const session::endpoint_entry &Entry,
         std::string_view Customer, unsigned Priority);
 /// @}
 
 /// The ports of the session core.
-session::core_ports nativePorts(native_state &State);
+session::core_ports sessionCorePorts(platform_instance_state &State);
 
 /// Pauses for \p Time, spread by a tenth either way so that instances started
 /// together do not act together.
-base::task<void> pauseAbout(native_state &State, base::milliseconds Time);
+base::task<void> pauseAbout(platform_instance_state &State,
+                            base::milliseconds Time);
 
 } // namespace redwinggw
--- a/packages/redwinggw/src/native_rights.cpp
+++ b/packages/redwinggw/src/platform_primaries.cpp
@@ -1,4 +1,4 @@
-#include "native_state.hpp"
+#include "platform_instance_state.hpp"
 
 #include "redwinggw/base/log.hpp"
 
@@ -14,7 +14,7 @@
 
 } // namespace
 
-bool isInTouch(native_state &State) {
+bool isInTouch(platform_instance_state &State) {
   if (!State.Peers)
     return false;
   const control::currency Now = State.Peers->judgeCurrency(base::now());
@@ -27,7 +27,8 @@
   return Now != control::currency::Isolated;
 }
 
-void noteStore(native_state &State, bool Answered, std::string_view Reason) {
+void noteStore(platform_instance_state &State, bool Answered,
+               std::string_view Reason) {
   if (Answered == State.StoreUp)
     return;
   State.StoreUp = Answered;
@@ -37,7 +38,7 @@
                  {{"reason", std::string(Reason)}});
 }
 
-base::endpoint_name primaryOf(const native_state &State,
+base::endpoint_name primaryOf(const platform_instance_state &State,
                               std::string_view Service) {
   if (const auto *Known = findClaim(State.Claims, Service))
     return Known->Claim.Primary;
@@ -48,7 +49,7 @@
   return {};
 }
 
-std::optional<session::primary_right> rightTo(native_state &State,
+std::optional<session::primary_right> rightTo(platform_instance_state &State,
                                               std::string_view Service) {
   const auto *Known = findClaim(State.Claims, Service);
   if (Known != nullptr && Known->Claim.Moving)
@@ -60,8 +61,9 @@
                                 Known == nullptr ? 0 : Known->Claim.Epoch};
 }
 
-std::optional<milliseconds> primaryExpected(const native_state &State,
-                                            std::string_view Service) {
+std::optional<milliseconds>
+primaryExpected(const platform_instance_state &State,
+                std::string_view Service) {
   const auto *Known = findClaim(State.Claims, Service);
   if (Known == nullptr || !Known->Claim.Moving)
     return std::nullopt;
@@ -75,7 +77,8 @@
   return std::max(Least, MoveTakes - Elapsed);
 }
 
-bool takeClaim(native_state &State, const session::primary_claim &Claim) {
+bool takeClaim(platform_instance_state &State,
+               const session::primary_claim &Claim) {
   // To know a later claim is to acknowledge it, after which its orderer may
   // order too. An earlier order of ours that is still on its way would then
   // come after that one, so it has to end first; the claim is told again.
@@ -94,7 +97,7 @@
   return true;
 }
 
-bool suspects(const native_state &State, std::string_view Service) {
+bool suspects(const platform_instance_state &State, std::string_view Service) {
   const auto Pool = State.Endpoints.Pools.find(primaryOf(State, Service));
   return Pool != State.Endpoints.Pools.end() &&
          isSuspect(Pool->second->health(), State.Handover, base::now());
--- a/packages/redwinggw/src/native_probing.cpp
+++ b/packages/redwinggw/src/platform_probing.cpp
@@ -1,4 +1,4 @@
-#include "native_state.hpp"
+#include "platform_instance_state.hpp"
 
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
@@ -18,7 +18,7 @@
 /// The name under which the system itself connects.
 constexpr std::string_view OwnCustomer = "-";
 
-base::task<void> probe(native_ptr State, base::endpoint_name Name) {
+base::task<void> probe(platform_instance_ptr State, base::endpoint_name Name) {
   const auto *Entry = findEndpoint(State->Endpoints.Directory, Name);
   if (Entry != nullptr) {
     const instant Sent = base::now();
@@ -39,7 +39,7 @@
 
 } // namespace
 
-base::task<session::status_exchange> askStatus(native_state &State,
+base::task<session::status_exchange> askStatus(platform_instance_state &State,
                                                session::endpoint_entry Entry,
                                                milliseconds Time) {
   const auto Link = State.Endpoints.Factory();
@@ -54,7 +54,8 @@
   co_return co_await Link->command(session::status_command::Ask, 0, Deadline);
 }
 
-void probeIfInDoubt(native_ptr State, const base::endpoint_name &Name) {
+void probeIfInDoubt(platform_instance_ptr State,
+                    const base::endpoint_name &Name) {
   const auto Pool = poolOf(State->Endpoints, Name);
   if (!Pool || State->Probing.contains(Name))
     return;
--- a/packages/redwinggw/src/native_rates.cpp
+++ b/packages/redwinggw/src/platform_rates.cpp
@@ -1,4 +1,4 @@
-#include "native_state.hpp"
+#include "platform_instance_state.hpp"
 
 #include "redwinggw/control/gathered_rates.hpp"
 
@@ -23,8 +23,9 @@
 constexpr milliseconds KeeperTime{40};
 
 /// Counts tokens that went from one instance to another.
-void countLoan(native_state &State, const base::customer_name &Customer,
-               std::string_view Step, double Tokens) {
+void countLoan(platform_instance_state &State,
+               const base::customer_name &Customer, std::string_view Step,
+               double Tokens) {
   counterOf(State.Core.Metrics, base::metric::ShareTokensTotal,
             {Customer, std::string(Step)})
       .Value += Tokens;
@@ -32,8 +33,8 @@
 
 /// Asks another instance for tokens and waits for its answer. False when there
 /// is nobody to ask or no answer in time.
-base::task<bool> borrow(native_state &State, const std::string &Customer,
-                        double Missing) {
+base::task<bool> borrow(platform_instance_state &State,
+                        const std::string &Customer, double Missing) {
   const instant Now = base::now();
   if (!State.Peers)
     co_return false;
@@ -61,7 +62,7 @@
 
 /// Answers a request for tokens; also when there are none, so that nobody
 /// waits in vain.
-void lend(native_state &State, const base::instance_name &To,
+void lend(platform_instance_state &State, const base::instance_name &To,
           const wire::share_message &Request) {
   wire::share_message Grant = answerTo(Request, wire::share_kind::Grant);
   for (const wire::share_entry &Entry : Request.Entries) {
@@ -74,7 +75,7 @@
 }
 
 /// Answers a request for an operation's token.
-void answerTake(native_state &State, const base::instance_name &To,
+void answerTake(platform_instance_state &State, const base::instance_name &To,
                 const wire::share_message &Request) {
   if (Request.Entries.size() != 1)
     return;
@@ -96,7 +97,8 @@
 
 /// Hands a keeper's answer to the operation that waits for it. True when there
 /// was one.
-bool takeKeeperAnswer(native_state &State, const wire::share_message &Answer) {
+bool takeKeeperAnswer(platform_instance_state &State,
+                      const wire::share_message &Answer) {
   const bool Grants = Answer.Kind == wire::share_kind::Grant;
   const auto Asked = State.KeeperAnswers.find(Answer.Number);
   if (Asked == State.KeeperAnswers.end() ||
@@ -114,7 +116,7 @@
 /// Asks the keeper of the customer's bucket. Nothing when it did not answer, or
 /// does not keep it.
 base::task<std::optional<control::keeper_answer>>
-askKeeper(native_state &State, const control::member &Keeper,
+askKeeper(platform_instance_state &State, const control::member &Keeper,
           const std::string &Customer, unsigned Priority,
           base::microseconds Patience) {
   wire::share_message Message;
@@ -134,7 +136,7 @@
 
 /// Admits an operation by the bucket that another instance keeps.
 base::task<control::demand_verdict>
-admitByKeeper(native_state &State, const std::string &Customer,
+admitByKeeper(platform_instance_state &State, const std::string &Customer,
               unsigned Priority, base::microseconds Patience,
               control::demand_verdict Here) {
   const control::member *Keeper =
@@ -155,7 +157,7 @@
   co_return verdictOf(State.Shares, Customer, *Answer);
 }
 
-void takeGrant(native_state &State, const base::instance_name &From,
+void takeGrant(platform_instance_state &State, const base::instance_name &From,
                const wire::share_message &Grant) {
   for (const wire::share_entry &Entry : Grant.Entries) {
     takeLoan(State.Lending, State.Shares, From, Entry.Customer, Entry.Tokens,
@@ -167,10 +169,10 @@
 
 } // namespace
 
-base::task<session::admission> admitNative(native_state &State,
-                                           std::string Customer,
-                                           unsigned Priority,
-                                           base::microseconds Patience) {
+base::task<session::admission> admitOperation(platform_instance_state &State,
+                                              std::string Customer,
+                                              unsigned Priority,
+                                              base::microseconds Patience) {
   // The first one asked may have lent its tokens a moment ago.
   constexpr unsigned MostLenders = 2;
   auto Verdict =
@@ -190,7 +192,7 @@
   co_return admissionOf(Verdict);
 }
 
-void connectLending(native_state &State) {
+void connectLending(platform_instance_state &State) {
   State.Peers->onShareMessage([&State](const wire::datagram &Datagram,
                                        const wire::share_message &Message) {
     if (takeKeeperAnswer(State, Message))
