--- a/packages/redwinggw/src/instance.cpp
+++ b/packages/redwinggw/src/instance.cpp
@@ -17,11 +17,11 @@
 using base::log_part;
 
 constexpr auto Token = asio::as_tuple(asio::use_awaitable);
-constexpr base::milliseconds HousekeepingEvery{100};
-constexpr base::milliseconds CleaningEvery{10 * 60 * 1000};
+constexpr base::milliseconds HousekeepingInterval{100};
+constexpr base::milliseconds RecordCleanupInterval{10 * 60 * 1000};
 /// The balancer and callers on kept connections learn in this time that the
 /// instance leaves.
-constexpr base::milliseconds ShortestDrain{500};
+constexpr base::milliseconds MinDrainTime{500};
 
 base::task<void> pause(asio::any_io_executor Executor,
                        base::milliseconds Time) {
@@ -42,29 +42,31 @@
 
 /// Work that comes back every so often: currency, abandoned transactions.
 void housekeep(instance_state &State) {
-  judgeCurrency(State);
+  judgeFreshness(State);
   data::closeAbandoned(State.Statements, State.Transactions, base::now());
   shareConnections(State);
   // A suspicion begins by the passing of time, without any event.
-  tellSuspicions(State);
+  announceSuspicions(State);
 }
 
-base::task<void> keepHouse(std::shared_ptr<instance_state> State) {
+base::task<void> runHousekeeping(std::shared_ptr<instance_state> State) {
   while (State->Life.state() != kernel::life_state::Stopped) {
     housekeep(*State);
-    co_await pause(State->Context.get_executor(), HousekeepingEvery);
+    co_await pause(State->Context.get_executor(), HousekeepingInterval);
   }
 }
 
-base::task<void> cleanRecords(std::shared_ptr<instance_state> State) {
+base::task<void>
+deleteRecordsPeriodically(std::shared_ptr<instance_state> State) {
   // The first pause is spread, so that instances started together do not clean
   // together.
-  std::uniform_int_distribution<std::int64_t> Spread(0, CleaningEvery.count());
+  std::uniform_int_distribution<std::int64_t> Spread(
+      0, RecordCleanupInterval.count());
   base::milliseconds Pause(Spread(State->Statements.Random));
   while (State->Life.state() == kernel::life_state::Serving) {
     co_await pause(State->Context.get_executor(), Pause);
-    Pause = CleaningEvery;
-    if (State->Currency != control::currency::Isolated)
+    Pause = RecordCleanupInterval;
+    if (State->Freshness != control::currency::Isolated)
       co_await data::deleteExpiredRecords(State->Statements);
   }
 }
@@ -75,7 +77,7 @@
 }
 
 bool mayStop(const instance_state &State, base::microseconds Waited) {
-  if (Waited < ShortestDrain)
+  if (Waited < MinDrainTime)
     return false;
   const bool Idle = !hasWork(State) && State.Shares.status().Leases == 0;
   return Idle || Waited >= State.Settings.DrainTime;
@@ -93,12 +95,12 @@
   State->Shares.drain();
   const auto Executor = State->Context.get_executor();
   while (!mayStop(*State, base::now() - Begun))
-    co_await pause(Executor, HousekeepingEvery);
+    co_await pause(Executor, HousekeepingInterval);
   kernel::drainAll(State->Registry);
   State->Life.process(kernel::life_event::Drained);
 }
 
-void entered(instance_state &State, kernel::life_state Entered) {
+void noteLifeState(instance_state &State, kernel::life_state Entered) {
   const std::string Name(kernel::lifeStateName(Entered));
   base::log(log_level::Info, log_part::Main, "Instance is " + Name + ".");
   recordEvent(State, event_kind::DrainStep, Name);
@@ -126,7 +128,7 @@
       Statements{Context.get_executor()},
       Callers(Context.get_executor(), Statements, Transactions),
       Operators(Context.get_executor(), Secrets.OperatorKey),
-      Life([this](kernel::life_state State) { entered(*this, State); }) {
+      Life([this](kernel::life_state State) { noteLifeState(*this, State); }) {
   Statements.Settings.Instance = Settings.Name;
   Statements.Settings.Zone = Settings.Zone;
   Statements.Settings.FleetKey = Secrets.FleetKey;
@@ -159,8 +161,9 @@
     return base::failure(base::errc::BadSettings, Error.what());
   }
   State->Life.process(kernel::life_event::Ready);
-  asio::co_spawn(State->Context, keepHouse(State), asio::detached);
-  asio::co_spawn(State->Context, cleanRecords(State), asio::detached);
+  asio::co_spawn(State->Context, runHousekeeping(State), asio::detached);
+  asio::co_spawn(State->Context, deleteRecordsPeriodically(State),
+                 asio::detached);
   return {};
 }
 
--- a/packages/redwinggw/src/instance_state.hpp
+++ b/packages/redwinggw/src/instance_state.hpp
@@ -41,7 +41,7 @@
   control::operator_server Operators;
   kernel::registry Registry;
   kernel::life_cycle Life;
-  control::currency Currency = control::currency::Isolated;
+  control::currency Freshness = control::currency::Isolated;
   /// Instances among which the endpoints' connections are divided now.
   std::size_t SharedAmong = 0;
 };
@@ -59,10 +59,10 @@
 void collectMetrics(instance_state &State);
 
 /// Whether the configuration may be served, as of now.
-control::currency judgeCurrency(instance_state &State);
+control::currency judgeFreshness(instance_state &State);
 
 /// Puts the groups suspected here into the next heartbeats.
-void tellSuspicions(instance_state &State);
+void announceSuspicions(instance_state &State);
 
 /// Takes in a configuration that came into force.
 void applyConfiguration(instance_state &State,
--- a/packages/redwinggw/src/main.cpp
+++ b/packages/redwinggw/src/main.cpp
@@ -141,8 +141,8 @@
 void reloadOnChange(boost::asio::steady_timer &Timer,
                     platform_instance &Instance, const command_line &Line,
                     std::filesystem::file_time_type Known) {
-  constexpr std::chrono::seconds LookEvery{2};
-  Timer.expires_after(LookEvery);
+  constexpr std::chrono::seconds CheckInterval{2};
+  Timer.expires_after(CheckInterval);
   Timer.async_wait([&, Known](boost::system::error_code Error) {
     if (Error)
       return;
--- a/packages/redwinggw/src/operator_pages.cpp
+++ b/packages/redwinggw/src/operator_pages.cpp
@@ -18,7 +18,7 @@
       {"zone", State.Settings.Zone},
       {"state", kernel::lifeStateName(State.Life.state())},
       {"version", State.Configuration.inForce().Version},
-      {"currency", control::currencyName(State.Currency)},
+      {"currency", control::currencyName(State.Freshness)},
       {"callers", http::toText(State.Settings.Callers)},
       {"operators", http::toText(State.Settings.Operators)},
       {"caller_connections", State.Callers.Server.openConnections()},
--- a/packages/redwinggw/src/platform_configuration.cpp
+++ b/packages/redwinggw/src/platform_configuration.cpp
@@ -21,8 +21,8 @@
 /// repetition and a heartbeat fit in. The store's feed of changes would tell
 /// sooner, but it goes silent when the store drops its history, and then hands
 /// on a version whose changes it never told.
-constexpr milliseconds ConfigurationEvery{800};
-constexpr milliseconds ConfigurationSilence{700};
+constexpr milliseconds ConfigurationReadInterval{800};
+constexpr milliseconds ConfigurationIdleTimeout{700};
 
 /// For how long a newer configuration than the one in force has been known of.
 std::string millisecondsBehind(const platform_instance_state &State) {
@@ -59,9 +59,9 @@
 
 /// Puts a configuration in force unless it is older than the one that is.
 /// \p From is the store or an instance, for the log.
-void takeConfiguration(platform_instance_state &State,
-                       session::stored_configuration Given,
-                       std::string_view From) {
+void acceptConfiguration(platform_instance_state &State,
+                         session::stored_configuration Given,
+                         std::string_view From) {
   if (Given.Row <= State.Stored.Row || !Given.Text)
     return;
   auto Table = platform::readConfiguration(*Given.Text);
@@ -92,16 +92,16 @@
 base::task<bool> readConfiguration(platform_instance_state &State) {
   const base::instant Sent = base::now();
   const auto Rows = co_await platform::readTable(
-      State.Reader, platform::OperatorTable, ConfigurationSilence);
+      State.StoreReader, platform::OperatorTable, ConfigurationIdleTimeout);
   ++State.Store.Reads;
-  noteStore(State, Rows.has_value(), Rows ? "" : describe(Rows.error()));
+  noteStoreResult(State, Rows.has_value(), Rows ? "" : describe(Rows.error()));
   if (!Rows) {
     noteUnreadConfiguration(State, Sent, Rows.error());
     co_return false;
   }
   if (State.Peers)
     State.Peers->noteStoreContact();
-  takeConfiguration(State, storedConfiguration(*Rows), "store");
+  acceptConfiguration(State, storedConfiguration(*Rows), "store");
   co_return true;
 }
 
@@ -127,14 +127,14 @@
 
 /// Asks another instance for what the store did not give: it may turn this
 /// instance away, or answer from the past.
-base::task<void> askOthers(platform_instance_state &State) {
+base::task<void> fetchFromPeer(platform_instance_state &State) {
   const control::member *Holder = configurationHolder(State);
-  if (Holder == nullptr || !State.RelayLinks)
+  if (Holder == nullptr || !State.ForwardingClient)
     co_return;
   const session::relay_owner From{Holder->Name, Holder->Address};
   auto Told =
-      co_await State.RelayLinks->askConfiguration(From, State.Stored.Row);
-  takeConfiguration(State, std::move(Told), From.Name);
+      co_await State.ForwardingClient->askConfiguration(From, State.Stored.Row);
+  acceptConfiguration(State, std::move(Told), From.Name);
 }
 
 /// Whether another instance has a newer configuration; notes since when.
@@ -152,15 +152,16 @@
 base::task<void> followConfiguration(platform_instance_ptr State) {
   while (!State->Stopped) {
     // Where another instance reads, its heartbeats tell of changes.
-    if (State->Routes && hasReader(*State) && !isBehind(*State)) {
-      co_await pauseAbout(*State, NewsEvery);
+    if (State->Routes && hasStoreReader(*State) && !isBehind(*State)) {
+      co_await pauseWithJitter(*State, UpdateCheckInterval);
       continue;
     }
     const std::uint64_t Before = State->Stored.Row;
     const bool Answered = co_await readConfiguration(*State);
     if (State->Stored.Row == Before && isBehind(*State))
-      co_await askOthers(*State);
-    co_await pauseAbout(*State, Answered ? ConfigurationEvery : RetryAfter);
+      co_await fetchFromPeer(*State);
+    co_await pauseWithJitter(*State,
+                             Answered ? ConfigurationReadInterval : RetryDelay);
   }
 }
 
--- a/packages/redwinggw/src/platform_endpoint_owners.cpp
+++ b/packages/redwinggw/src/platform_endpoint_owners.cpp
@@ -81,24 +81,27 @@
   std::erase_if(State.Owners, [&](const auto &Item) {
     return !State.Endpoints.Pools.contains(Item.first);
   });
-  if (!State.Peers || !State.RelayLinks)
+  if (!State.Peers || !State.ForwardingClient)
     return;
   for (const control::member &Member : State.Peers->view().Members)
     if (!session::mayOwn(State.Peers->view(), Member, Now))
-      State.RelayLinks->closeIdle(Member.Name);
+      State.ForwardingClient->closeIdle(Member.Name);
 }
 
 } // namespace
 
-void startRelays(platform_instance_state &State, const std::string &Secret) {
+void startForwarding(platform_instance_state &State,
+                     const std::string &Secret) {
   const auto Executor = State.Context.get_executor();
-  State.RelayLinks = std::make_unique<session::relay_links>(
+  State.ForwardingClient = std::make_unique<session::relay_links>(
       Executor, State.Endpoints.Watch, Secret);
-  State.RelayServer =
+  State.ForwardingServer =
       std::make_unique<session::relay_server>(Executor, State.Core, Secret);
-  State.RelayServer->handOnConfiguration([&State] { return State.Stored; });
+  State.ForwardingServer->handOnConfiguration(
+      [&State] { return State.Stored; });
   // The others go to the endpoints themselves when it does not listen.
-  if (const auto Listening = State.RelayServer->listen(State.Settings.Peers);
+  if (const auto Listening =
+          State.ForwardingServer->listen(State.Settings.Peers);
       !Listening)
     base::log(base::log_level::Error, base::log_part::Peers,
               describe(Listening.error()));
@@ -119,19 +122,20 @@
 }
 
 std::unique_ptr<session::relay_link>
-relayTo(platform_instance_state &State, const session::endpoint_entry &Entry,
-        std::string_view Customer, unsigned Priority) {
-  if (isOwn(State, Entry.Name) || !State.RelayLinks || !State.Peers)
+forwardingLinkTo(platform_instance_state &State,
+                 const session::endpoint_entry &Entry,
+                 std::string_view Customer, unsigned Priority) {
+  if (isOwn(State, Entry.Name) || !State.ForwardingClient || !State.Peers)
     return nullptr;
   const instant Now = base::now();
   const base::instance_name &Owner = State.Owners.find(Entry.Name)->second;
   const control::member *Member = findMember(State.Peers->view(), Owner);
   if (Member == nullptr ||
       !session::mayOwn(State.Peers->view(), *Member, Now) ||
-      !State.RelayLinks->isUsable(Owner, Now))
+      !State.ForwardingClient->isUsable(Owner, Now))
     return nullptr;
-  return State.RelayLinks->to({Owner, Member->Address}, Entry.Name,
-                              std::string(Customer), Priority);
+  return State.ForwardingClient->to({Owner, Member->Address}, Entry.Name,
+                                    std::string(Customer), Priority);
 }
 
 } // namespace redwinggw
--- a/packages/redwinggw/src/platform_endpoints.cpp
+++ b/packages/redwinggw/src/platform_endpoints.cpp
@@ -16,12 +16,12 @@
 /// One reading a second of each table: a leaving endpoint must be out of use
 /// within seven seconds, and a new one should be in use at about the time at
 /// which the old one leaves.
-constexpr milliseconds ReadEvery{1000};
+constexpr milliseconds EndpointReadInterval{1000};
 /// A relayed list counts for so long; then this instance reads for itself.
-constexpr milliseconds RelayCounts{1700};
+constexpr milliseconds RelayedListValidFor{1700};
 /// An unchanged list is sent in full so often: an instance that lost the
 /// datagram with a change has read the store itself long before.
-constexpr milliseconds RelayAgain{5000};
+constexpr milliseconds FullListInterval{5000};
 
 std::vector<session::endpoint_entry>
 entriesOf(const platform::table_rows &Rows) {
@@ -40,34 +40,35 @@
 /// after a change, and now and then for those that missed it; otherwise that it
 /// is unchanged. Whoever has another list ignores that, and reads for itself
 /// when nothing else comes.
-void relayList(platform_instance_state &State,
-               const platform::table_rows &Rows) {
+void shareEndpointList(platform_instance_state &State,
+                       const platform::table_rows &Rows) {
   const base::instant Now = base::now();
-  const bool Unchanged = State.SentList == State.List && State.SentListAt &&
-                         Now - *State.SentListAt < RelayAgain;
+  const bool Unchanged = State.SentEndpointList == State.EndpointList &&
+                         State.SentEndpointListAt &&
+                         Now - *State.SentEndpointListAt < FullListInterval;
   if (Unchanged) {
     State.Peers->sendReading({wire::reading_kind::EndpointsUnchanged, false,
-                              digestText(State.List)});
+                              digestText(State.EndpointList)});
     return;
   }
   const std::string Text = platform::writeReading(Rows);
-  if (Text.size() > LongestReading) {
+  if (Text.size() > MaxSharedReadBytes) {
     base::logEvent(log_level::Warning, log_part::Endpoints, "list_not_relayed",
                    {{"bytes", std::to_string(Text.size())},
-                    {"limit", std::to_string(LongestReading)}});
+                    {"limit", std::to_string(MaxSharedReadBytes)}});
     return;
   }
   State.Peers->sendReading({wire::reading_kind::Endpoints, false, Text});
-  State.SentList = State.List;
-  State.SentListAt = Now;
+  State.SentEndpointList = State.EndpointList;
+  State.SentEndpointListAt = Now;
 }
 
-void takeEndpoints(platform_instance_state &State,
-                   const std::vector<session::endpoint_entry> &Entries,
-                   base::instant ReadAt) {
+void acceptEndpointList(platform_instance_state &State,
+                        const std::vector<session::endpoint_entry> &Entries,
+                        base::instant ReadAt) {
   const auto Changes = applyList(State.Endpoints, Entries, base::now());
-  State.List = Entries;
-  State.ListAt = ReadAt;
+  State.EndpointList = Entries;
+  State.EndpointListAt = ReadAt;
   for (const base::endpoint_name &Name : Changes.Started)
     base::log(log_level::Info, log_part::Endpoints,
               "Endpoint " + Name + " is listed.");
@@ -79,50 +80,51 @@
 
 } // namespace
 
-void takeReading(platform_instance_state &State,
-                 const wire::store_reading &Reading) {
+void acceptSharedRead(platform_instance_state &State,
+                      const wire::store_reading &Reading) {
   if (Reading.Kind == wire::reading_kind::EndpointsUnchanged) {
-    if (State.ListAt && Reading.Text == digestText(State.List))
-      takeEndpoints(State, std::vector(State.List), base::now());
+    if (State.EndpointListAt && Reading.Text == digestText(State.EndpointList))
+      acceptEndpointList(State, std::vector(State.EndpointList), base::now());
     return;
   }
   if (const auto Rows = platform::readReading(Reading.Text))
-    takeEndpoints(State, entriesOf(*Rows), base::now());
+    acceptEndpointList(State, entriesOf(*Rows), base::now());
 }
 
 namespace {
 
-void takeOwnReading(platform_instance_state &State,
-                    const platform::table_rows &Rows, base::instant Sent) {
+void acceptOwnRead(platform_instance_state &State,
+                   const platform::table_rows &Rows, base::instant Sent) {
   // A reading that took long must not undo a list that was relayed meanwhile.
-  if (State.ListAt.value_or(LongAgo) > Sent)
+  if (State.EndpointListAt.value_or(LongAgo) > Sent)
     return;
-  takeEndpoints(State, entriesOf(Rows), Sent);
-  if (isReader(State) && State.Peers)
-    relayList(State, Rows);
+  acceptEndpointList(State, entriesOf(Rows), Sent);
+  if (isStoreReader(State) && State.Peers)
+    shareEndpointList(State, Rows);
 }
 
 } // namespace
 
 base::task<void> followEndpoints(platform_instance_ptr State) {
   while (!State->Stopped) {
-    const bool Relayed =
-        base::now() - State->ListAt.value_or(LongAgo) < RelayCounts;
-    if (Relayed && hasReader(*State)) {
-      co_await pauseAbout(*State, NewsEvery);
+    const bool Relayed = base::now() - State->EndpointListAt.value_or(LongAgo) <
+                         RelayedListValidFor;
+    if (Relayed && hasStoreReader(*State)) {
+      co_await pauseWithJitter(*State, UpdateCheckInterval);
       continue;
     }
     const base::instant Sent = base::now();
     const auto Rows = co_await platform::readTable(
-        State->Reader, platform::EndpointTable, ReadSilence);
+        State->StoreReader, platform::EndpointTable, ReadIdleTimeout);
     ++State->Store.Reads;
-    noteStore(*State, Rows.has_value(), Rows ? "" : describe(Rows.error()));
+    noteStoreResult(*State, Rows.has_value(),
+                    Rows ? "" : describe(Rows.error()));
     if (Rows) {
       if (State->Peers)
         State->Peers->noteStoreContact();
-      takeOwnReading(*State, *Rows, Sent);
+      acceptOwnRead(*State, *Rows, Sent);
     }
-    co_await pauseAbout(*State, Rows ? ReadEvery : RetryAfter);
+    co_await pauseWithJitter(*State, Rows ? EndpointReadInterval : RetryDelay);
   }
 }
 
--- a/packages/redwinggw/src/platform_fleet.cpp
+++ b/packages/redwinggw/src/platform_fleet.cpp
@@ -91,35 +91,35 @@
       State.Settings.Capacity};
   // An instance that has heard nothing for so long must not use a primary any
   // more; see handover_limits::ReadingCounts.
-  control::currency_limits Currency;
-  Currency.Bound = milliseconds(1000);
+  control::currency_limits Freshness;
+  Freshness.Bound = milliseconds(1000);
   control::membership_limits Members;
   Members.AcceptStrangers = true;
   State.Peers = std::make_unique<control::peer_service>(
       State.Context.get_executor(), Identity, State.Settings.Peers, Secret,
-      State.Store, Members, Currency);
+      State.Store, Members, Freshness);
   connectPeers(State);
-  connectLending(State);
-  startRelays(State, Secret);
+  connectTokenTransfers(State);
+  startForwarding(State, Secret);
   if (const auto Started = State.Peers->start(); !Started)
     base::log(log_level::Error, log_part::Peers, describe(Started.error()));
 }
 
 /// Takes in the system's own rows. True when this instance's row is among
 /// them.
-bool takeFleet(platform_instance_state &State,
-               const platform::table_rows &Rows) {
+bool acceptFleetRows(platform_instance_state &State,
+                     const platform::table_rows &Rows) {
   std::vector<storage::listed_instance> Listed;
-  State.InstanceRows.clear();
+  State.InstanceRowVersions.clear();
   for (const platform::table_row &Row : Rows.Rows) {
     if (auto Instance = instanceOf(Row)) {
-      State.InstanceRows.emplace(Instance->Name, Row.Version);
+      State.InstanceRowVersions.emplace(Instance->Name, Row.Version);
       Listed.push_back(std::move(*Instance));
     }
     if (!Row.Key.starts_with(session::ClaimPrefix))
       continue;
     if (const auto Claim = session::readClaim(Row.Key, Row.Version, Row.Value))
-      takeClaim(State, *Claim);
+      acceptClaim(State, *Claim);
   }
   State.Peers->setList(Listed);
   return std::ranges::find(Listed, State.Settings.Name,
@@ -138,7 +138,7 @@
                                          : milliseconds(0);
 }
 
-bool hearsSomebody(const platform_instance_state &State) {
+bool hasDirectContact(const platform_instance_state &State) {
   const auto &View = State.Peers->view();
   return std::ranges::any_of(View.Members, [&](const control::member &Member) {
     return isHeardDirectly(View, Member, base::now());
@@ -158,7 +158,8 @@
   if (State.Peers->hearsMajority(base::now()))
     return Heard;
   // A relay tells of the readings of others.
-  const bool Relayed = usesRelays(State.Peers->view()) && hearsSomebody(State);
+  const bool Relayed =
+      usesRelays(State.Peers->view()) && hasDirectContact(State);
   return Relayed ? std::max(Unheard, wantedReadInterval(State)) : Unheard;
 }
 
@@ -168,14 +169,14 @@
   constexpr milliseconds GoneAfter{8000};
   // Two entries of a call for each; the store takes a hundred.
   constexpr std::size_t MostAtOnce = 40;
-  if (!isReader(State) || !State.Peers->hearsMajority(base::now()))
+  if (!isStoreReader(State) || !State.Peers->hearsMajority(base::now()))
     co_return;
   const base::instant Now = base::now();
   storage::commit_request Request;
   for (const control::member &Member : State.Peers->view().Members) {
-    const auto Row = State.InstanceRows.find(Member.Name);
+    const auto Row = State.InstanceRowVersions.find(Member.Name);
     const bool Gone = Now - Member.ArrivedAt.value_or(Member.Since) > GoneAfter;
-    if (!Gone || Row == State.InstanceRows.end() ||
+    if (!Gone || Row == State.InstanceRowVersions.end() ||
         Request.Deletes.size() == MostAtOnce)
       continue;
     Request.Checks.push_back({instanceKey(Member.Name), Row->second});
@@ -193,7 +194,8 @@
 
 } // namespace
 
-base::task<void> pauseAbout(platform_instance_state &State, milliseconds Time) {
+base::task<void> pauseWithJitter(platform_instance_state &State,
+                                 milliseconds Time) {
   constexpr int Spread = 10;
   std::uniform_int_distribution<std::int64_t> Offset(-Time.count() / Spread,
                                                      Time.count() / Spread);
@@ -220,10 +222,10 @@
 base::task<std::optional<platform::table_rows>>
 readRows(platform_instance_state &State) {
   State.FleetReadWanted = false;
-  auto Rows = co_await platform::readTable(State.Reader, platform::OwnTable,
-                                           ReadSilence);
+  auto Rows = co_await platform::readTable(State.StoreReader,
+                                           platform::OwnTable, ReadIdleTimeout);
   ++State.Store.Reads;
-  noteStore(State, Rows.has_value(), Rows ? "" : describe(Rows.error()));
+  noteStoreResult(State, Rows.has_value(), Rows ? "" : describe(Rows.error()));
   if (!Rows)
     co_return std::nullopt;
   co_return std::move(*Rows);
@@ -231,9 +233,9 @@
 
 /// Takes in rows that were asked for at \p Sent. True when this instance's row
 /// is among them.
-bool noteRows(platform_instance_state &State, const platform::table_rows &Rows,
-              base::instant Sent) {
-  const bool Listed = takeFleet(State, Rows);
+bool noteFleetRows(platform_instance_state &State,
+                   const platform::table_rows &Rows, base::instant Sent) {
+  const bool Listed = acceptFleetRows(State, Rows);
   State.Peers->noteStoreRead(Sent, base::now(), State.Claims.Version);
   State.FleetReadAt = Sent;
   return Listed;
@@ -263,7 +265,7 @@
   if (!Registered)
     co_return false;
   startPeers(State, *Secret);
-  noteRows(State, *Rows, Sent);
+  noteFleetRows(State, *Rows, Sent);
   co_return true;
 }
 
@@ -272,11 +274,11 @@
 base::task<void> pauseBetweenReads(platform_instance_state &State,
                                    bool Answered) {
   const base::instant Since = base::now();
-  const milliseconds Pause = Answered ? fleetReadInterval(State) : RetryAfter;
+  const milliseconds Pause = Answered ? fleetReadInterval(State) : RetryDelay;
   const milliseconds Wanted = wantedReadInterval(State);
   while (!State.Stopped && base::now() - Since < Pause &&
          (!State.FleetReadWanted || base::now() - Since < Wanted))
-    co_await pauseAbout(State, NewsEvery);
+    co_await pauseWithJitter(State, UpdateCheckInterval);
 }
 
 } // namespace
@@ -286,7 +288,7 @@
   while (!Joined && !State->Stopped) {
     Joined = co_await tryToJoin(*State);
     if (!Joined)
-      co_await pauseAbout(*State, RetryAfter);
+      co_await pauseWithJitter(*State, RetryDelay);
   }
   base::log(log_level::Info, log_part::Peers, "Joined the fleet.");
   co_await followFleet(State);
@@ -298,7 +300,7 @@
   auto Rows = co_await readRows(State);
   if (!Rows)
     co_return std::nullopt;
-  const bool Listed = noteRows(State, *Rows, Sent);
+  const bool Listed = noteFleetRows(State, *Rows, Sent);
   if (!Listed && !State.Stopped)
     co_await registerInstance(State);
   co_return std::move(Rows);
--- a/packages/redwinggw/src/platform_handover.cpp
+++ b/packages/redwinggw/src/platform_handover.cpp
@@ -19,14 +19,14 @@
 using session::move_cause;
 using session::primary_claim;
 
-constexpr milliseconds GuardEvery{100};
-constexpr milliseconds StatusTime{400};
-constexpr milliseconds OrderTime{1500};
+constexpr milliseconds PrimaryCheckInterval{100};
+constexpr milliseconds StatusTimeout{400};
+constexpr milliseconds PromotionTimeout{1500};
 /// How long a move goes on before it is begun again from the rows.
-constexpr milliseconds MoveTime{7000};
+constexpr milliseconds MoveTimeout{7000};
 constexpr milliseconds StepPause{20};
 
-void say(const std::string &Service, const std::string &Text) {
+void logMove(const std::string &Service, const std::string &Text) {
   base::log(base::log_level::Info, base::log_part::Failover,
             "Service " + Service + ": " + Text);
 }
@@ -34,10 +34,10 @@
 std::optional<instant> missingSince(platform_instance_state &State,
                                     const base::endpoint_name &Name) {
   if (findEndpoint(State.Endpoints.Directory, Name) != nullptr) {
-    State.Missing.erase(Name);
+    State.MissingPrimaries.erase(Name);
     return std::nullopt;
   }
-  return State.Missing.try_emplace(Name, base::now()).first->second;
+  return State.MissingPrimaries.try_emplace(Name, base::now()).first->second;
 }
 
 session::handover_view viewOf(platform_instance_state &State,
@@ -49,19 +49,20 @@
   if (!View.Primary.empty())
     View.MissingSince = missingSince(State, View.Primary);
   View.Suspects = countSuspects(State, Service);
-  bool OrdererHeard = false;
+  bool OrdererAlive = false;
   for (const control::member &Member : State.Peers->view().Members) {
     const bool Up = Member.State == control::member_state::Alive;
     View.Instances += Up ? 1 : 0;
     const bool Orders =
         View.Claim != nullptr && Member.Name == View.Claim->Claim.Orderer;
-    OrdererHeard = OrdererHeard || (Up && Orders);
+    OrdererAlive = OrdererAlive || (Up && Orders);
   }
-  if (OrdererHeard)
-    State.OrderersGone.erase(Service);
+  if (OrdererAlive)
+    State.OrdererUnreachableSince.erase(Service);
   else
     View.OrdererGoneSince =
-        State.OrderersGone.try_emplace(Service, base::now()).first->second;
+        State.OrdererUnreachableSince.try_emplace(Service, base::now())
+            .first->second;
   return View;
 }
 
@@ -185,7 +186,7 @@
     observeAcknowledgements(State, Claim, Acknowledged);
     if (mayPromote(Acknowledged, State.Handover, base::now()))
       co_return true;
-    co_await pauseAbout(State, StepPause);
+    co_await pauseWithJitter(State, StepPause);
   }
   co_return false;
 }
@@ -200,7 +201,7 @@
       Entries.push_back(*Entry);
   std::vector<session::move_candidate> Candidates;
   for (const session::endpoint_entry &Entry : Entries) {
-    const auto Status = co_await askStatus(State, Entry, StatusTime);
+    const auto Status = co_await askStatus(State, Entry, StatusTimeout);
     if (Status.Status)
       Candidates.push_back(
           {Entry.Name, Entry.Draining, Status.Status->Received});
@@ -216,7 +217,7 @@
   if (Entry == nullptr)
     co_return std::nullopt;
   const session::endpoint_entry Copy = *Entry;
-  const auto Status = co_await askStatus(State, Copy, StatusTime);
+  const auto Status = co_await askStatus(State, Copy, StatusTimeout);
   co_return Status.Status;
 }
 
@@ -238,7 +239,7 @@
       co_return Target->Name;
     if (!Patient)
       co_return base::endpoint_name();
-    co_await pauseAbout(State, StepPause);
+    co_await pauseWithJitter(State, StepPause);
   }
 }
 
@@ -249,32 +250,32 @@
   while (base::now() < Deadline && isCurrent(State, Claim)) {
     platform::promotion_order Order{Claim.Service, Target, Claim.Orderer,
                                     Claim.Token};
-    State.Ordering.insert(Claim.Service);
+    State.PromotionsInFlight.insert(Claim.Service);
     State.Peers->passOn(false);
     const auto Outcome = co_await platform::orderPromotion(
-        State.Promotions, std::move(Order), base::now() + OrderTime);
-    State.Ordering.erase(Claim.Service);
-    State.OrderedAt = base::now();
+        State.Promotions, std::move(Order), base::now() + PromotionTimeout);
+    State.PromotionsInFlight.erase(Claim.Service);
+    State.LastPromotionEndedAt = base::now();
     if (Outcome != platform::promotion_outcome::Unknown)
       co_return Outcome == platform::promotion_outcome::Accepted;
-    co_await pauseAbout(State, 5 * StepPause);
+    co_await pauseWithJitter(State, 5 * StepPause);
   }
   co_return false;
 }
 
 /// Waits until \p Target leads. False when it does not come to that.
-base::task<bool> awaitLead(platform_instance_state &State,
-                           const primary_claim &Claim,
-                           base::endpoint_name Target, instant Deadline) {
+base::task<bool> awaitPromotion(platform_instance_state &State,
+                                const primary_claim &Claim,
+                                base::endpoint_name Target, instant Deadline) {
   while (base::now() < Deadline && isCurrent(State, Claim)) {
     const auto *Entry = findEndpoint(State.Endpoints.Directory, Target);
     if (Entry == nullptr)
       co_return false;
     const session::endpoint_entry Copy = *Entry;
-    const auto Status = co_await askStatus(State, Copy, StatusTime);
+    const auto Status = co_await askStatus(State, Copy, StatusTimeout);
     if (Status.Status && Status.Status->Role == session::endpoint_role::Primary)
       co_return true;
-    co_await pauseAbout(State, 2 * StepPause);
+    co_await pauseWithJitter(State, 2 * StepPause);
   }
   co_return false;
 }
@@ -286,7 +287,7 @@
   const std::uint64_t Epoch = Claim.Epoch;
   Claim.Primary = std::move(Target);
   Claim.Moving = false;
-  takeClaim(State, Claim);
+  acceptClaim(State, Claim);
   State.Peers->sendNow();
   while (!State.Stopped) {
     const auto *Known = findClaim(State.Claims, Claim.Service);
@@ -300,7 +301,7 @@
         co_await storage::commit(State.Store, std::move(Request));
     if (Versions) {
       Claim.Epoch = Versions->front();
-      takeClaim(State, Claim);
+      acceptClaim(State, Claim);
       co_return;
     }
     if (kindOf(Versions.error()) == base::errc::Conflict) {
@@ -308,18 +309,18 @@
       State.FleetReadWanted = true;
       co_return;
     }
-    co_await pauseAbout(State, 10 * StepPause);
+    co_await pauseWithJitter(State, 10 * StepPause);
   }
 }
 
 /// Carries a claimed move out.
-base::task<bool> carryOut(platform_instance_state &State,
-                          const claimed_move &Move) {
+base::task<bool> executeMove(platform_instance_state &State,
+                             const claimed_move &Move) {
   const primary_claim &Claim = Move.Claim;
-  const instant Deadline = base::now() + MoveTime;
+  const instant Deadline = base::now() + MoveTimeout;
   const bool Fenced = co_await awaitAcknowledgements(State, Claim, Deadline);
   if (!Fenced) {
-    say(Claim.Service, "the move waits for half of the instances.");
+    logMove(Claim.Service, "the move waits for half of the instances.");
     co_return false;
   }
   const base::endpoint_name Target = co_await findTarget(State, Claim);
@@ -327,20 +328,21 @@
     // Nobody else can take over: the old primary goes on if it still leads.
     const auto Old = co_await askOldPrimary(State, Claim);
     if (!mayGoOn(Old, Move.Resumed)) {
-      say(Claim.Service, "no endpoint can take over.");
+      logMove(Claim.Service, "no endpoint can take over.");
       co_return false;
     }
-    say(Claim.Service, "no endpoint can take over; the old primary goes on.");
+    logMove(Claim.Service,
+            "no endpoint can take over; the old primary goes on.");
     co_await finishMove(State, Claim, Claim.Primary);
     co_return true;
   }
-  say(Claim.Service, "promoting " + Target + ".");
+  logMove(Claim.Service, "promoting " + Target + ".");
   const bool Promoted = co_await promote(State, Claim, Target, Deadline);
   bool Leads = false;
   if (Promoted)
-    Leads = co_await awaitLead(State, Claim, Target, Deadline);
+    Leads = co_await awaitPromotion(State, Claim, Target, Deadline);
   if (!Leads) {
-    say(Claim.Service, Target + " did not take the lead.");
+    logMove(Claim.Service, Target + " did not take the lead.");
     co_return false;
   }
   co_await finishMove(State, Claim, Target);
@@ -353,28 +355,29 @@
   const instant Begun = base::now();
   const auto Move = co_await claimMove(*State, Service, Primary);
   if (Move) {
-    say(Service, "moving the primary from " + Primary + ", cause " +
-                     std::string(moveCauseName(Cause)) + ".");
-    takeClaim(*State, Move->Claim);
-    const bool Done = co_await carryOut(*State, *Move);
+    logMove(Service, "moving the primary from " + Primary + ", cause " +
+                         std::string(moveCauseName(Cause)) + ".");
+    acceptClaim(*State, Move->Claim);
+    const bool Done = co_await executeMove(*State, *Move);
     const auto Took =
         std::chrono::duration_cast<milliseconds>(base::now() - Begun);
-    say(Service, std::string(Done ? "moved" : "not moved") + " after " +
-                     std::to_string(Took.count()) + " ms.");
+    logMove(Service, std::string(Done ? "moved" : "not moved") + " after " +
+                         std::to_string(Took.count()) + " ms.");
   }
   // A failed step is begun again from the rows, by whoever is the reader then.
-  co_await pauseAbout(*State, GuardEvery);
+  co_await pauseWithJitter(*State, PrimaryCheckInterval);
   State->Moving.erase(Service);
 }
 
-void guard(platform_instance_ptr State, const base::service_name &Service) {
+void checkPrimary(platform_instance_ptr State,
+                  const base::service_name &Service) {
   const base::endpoint_name Primary = primaryOf(*State, Service);
   probeIfInDoubt(State, Primary);
   const auto *Known = findClaim(State->Claims, Service);
   const bool OwnMove = Known != nullptr && Known->Claim.Moving &&
                        Known->Claim.Orderer == State->Settings.Name;
   if (State->Draining || State->Moving.contains(Service) ||
-      (!isReader(*State) && !OwnMove))
+      (!isStoreReader(*State) && !OwnMove))
     return;
   const auto View = viewOf(*State, Service);
   const move_cause Cause = causeToMove(View, State->Handover, base::now());
@@ -387,14 +390,14 @@
 
 } // namespace
 
-base::task<void> guardPrimaries(platform_instance_ptr State) {
+base::task<void> monitorPrimaries(platform_instance_ptr State) {
   while (!State->Stopped) {
     if (State->Peers && State->Routes && State->FleetReadAt) {
       const session::route_table_ptr Table = State->Routes;
       for (const auto &[Service, Limits] : Table->Services)
-        guard(State, Service);
+        checkPrimary(State, Service);
     }
-    co_await pauseAbout(*State, GuardEvery);
+    co_await pauseWithJitter(*State, PrimaryCheckInterval);
   }
 }
 
--- a/packages/redwinggw/src/platform_heartbeats.cpp
+++ b/packages/redwinggw/src/platform_heartbeats.cpp
@@ -68,7 +68,7 @@
 
 /// How many of the instances that report here cannot work with each primary.
 std::vector<wire::suspicion_count>
-suspicionsHere(const platform_instance_state &State) {
+reportedSuspicions(const platform_instance_state &State) {
   std::map<std::pair<std::string, std::string>, std::uint16_t> Counts;
   for (const control::member &Member : State.Peers->view().Members)
     if (isUp(Member) && control::reportsHere(Member))
@@ -86,11 +86,11 @@
 /// claim of the service, and must not tell that those who know of it are up:
 /// whoever counted them would not know what they know. Afterwards the claim is
 /// told again with the next heartbeats.
-bool passesOn(const platform_instance_state &State) {
-  constexpr milliseconds ToldAgainWithin{450};
-  return State.Ordering.empty() &&
-         (State.OrderedAt == instant::min() ||
-          base::now() - State.OrderedAt > ToldAgainWithin);
+bool mayReportOthers(const platform_instance_state &State) {
+  constexpr milliseconds ReannounceTime{450};
+  return State.PromotionsInFlight.empty() &&
+         (State.LastPromotionEndedAt == instant::min() ||
+          base::now() - State.LastPromotionEndedAt > ReannounceTime);
 }
 
 void completeDigests(platform_instance_state &State) {
@@ -98,11 +98,11 @@
   wire::fleet_digest Fleet;
   if (State.Peers->view().Relay && usesRelays(State.Peers->view())) {
     Zone.Demands = zoneDemands(State.Shares);
-    Zone.Suspicions = suspicionsHere(State);
+    Zone.Suspicions = reportedSuspicions(State);
     Fleet.Demands = fleetDemands(State.Shares);
   }
   State.Peers->setDigests(std::move(Zone), std::move(Fleet));
-  State.Peers->passOn(passesOn(State));
+  State.Peers->passOn(mayReportOthers(State));
 }
 
 void completeHeartbeat(platform_instance_state &State,
@@ -111,9 +111,9 @@
   Report.Demands = announceDemand(State.Shares, Now);
   Report.Positions = positionReports(State);
   // The parts follow at the pace of the heartbeats that carry the demands.
-  const bool InTouch = isInTouch(State);
-  divideRates(State.Shares, State.Peers->view(), InTouch, Now);
-  gatherRates(State.Shares, State.Peers->view(), InTouch, Now);
+  const bool InContact = isInContactWithFleet(State);
+  divideRates(State.Shares, State.Peers->view(), InContact, Now);
+  gatherRates(State.Shares, State.Peers->view(), InContact, Now);
   Report.Gathers = hasGathered(State.Shares, Now);
   Report.Groups = groupReports(State);
   Report.ConfigurationRow = State.Stored.Row;
@@ -123,8 +123,8 @@
 
 /// An agreement that another instance knows of. The token is in the store only:
 /// whoever orders next reads it there.
-void takeGroup(platform_instance_state &State,
-               const wire::group_report &Report) {
+void acceptReportedClaim(platform_instance_state &State,
+                         const wire::group_report &Report) {
   if (Report.Term == 0)
     return;
   session::primary_claim Claim;
@@ -133,11 +133,11 @@
   Claim.Primary = Report.Primary;
   Claim.Moving = Report.Moving;
   Claim.Orderer = Report.Orderer;
-  takeClaim(State, Claim);
+  acceptClaim(State, Claim);
 }
 
-void takePositions(platform_instance_state &State,
-                   const control::member &Member) {
+void acceptReportedPositions(platform_instance_state &State,
+                             const control::member &Member) {
   if (!Member.ReportAt || !State.Routes)
     return;
   const instant Now = base::now();
@@ -152,10 +152,11 @@
                   Now);
 }
 
-void takeReport(platform_instance_state &State, const control::member &Member) {
+void acceptReport(platform_instance_state &State,
+                  const control::member &Member) {
   for (const wire::group_report &Report : Member.Report.Groups)
-    takeGroup(State, Report);
-  takePositions(State, Member);
+    acceptReportedClaim(State, Report);
+  acceptReportedPositions(State, Member);
   if (Member.Report.HeadVersion > State.Claims.Version ||
       State.Peers->view().ToldOfStrangers)
     State.FleetReadWanted = true;
@@ -163,7 +164,7 @@
 
 } // namespace
 
-void tellClaims(platform_instance_state &State) {
+void announceClaims(platform_instance_state &State) {
   if (!State.Peers)
     return;
   State.Peers->setVersion(State.Claims.Version);
@@ -175,18 +176,18 @@
     completeHeartbeat(State, Report);
   });
   State.Peers->onReport(
-      [&State](const control::member &Member) { takeReport(State, Member); });
+      [&State](const control::member &Member) { acceptReport(State, Member); });
   State.Peers->onReading(
       [&State](const control::member &, const wire::store_reading &Reading) {
-        takeReading(State, Reading);
+        acceptSharedRead(State, Reading);
       });
   State.Peers->onStranger([&State] { State.FleetReadWanted = true; });
 }
 
-bool isReader(const platform_instance_state &State) {
+bool isStoreReader(const platform_instance_state &State) {
   if (!State.Peers)
     return true;
-  if (State.Draining && hasReader(State))
+  if (State.Draining && hasStoreReader(State))
     return false;
   const instant Now = base::now();
   const auto &View = State.Peers->view();
@@ -196,7 +197,7 @@
   });
 }
 
-bool hasReader(const platform_instance_state &State) {
+bool hasStoreReader(const platform_instance_state &State) {
   if (!State.Peers)
     return false;
   const instant Now = base::now();
--- a/packages/redwinggw/src/platform_instance.cpp
+++ b/packages/redwinggw/src/platform_instance.cpp
@@ -17,12 +17,12 @@
 using base::log_part;
 using base::milliseconds;
 
-constexpr milliseconds HousekeepingEvery{200};
+constexpr milliseconds HousekeepingInterval{200};
 /// Longer than the pause in which a lost majority is made up for by readings
 /// of the store.
 constexpr milliseconds CutOffAfter{800};
 
-void entered(kernel::life_state State) {
+void noteLifeState(kernel::life_state State) {
   base::log(log_level::Info, log_part::Main,
             "Instance is " + std::string(kernel::lifeStateName(State)) + ".");
 }
@@ -83,19 +83,19 @@
 /// @{
 /// The balancer has asked twice by then and sends nobody any more. Whoever was
 /// sent before is still served: a session closed sooner would come back here.
-constexpr milliseconds CallersKnow{2100};
+constexpr milliseconds BalancerNoticeTime{2100};
 /// Open transactions may end until then: half of the time.
-constexpr milliseconds TransactionsEnd{3100};
+constexpr milliseconds TransactionDeadline{3100};
 /// Statements still at work get their answers until then.
-constexpr milliseconds AnswersEnd{5200};
-constexpr milliseconds DrainPace{100};
+constexpr milliseconds AnswerDeadline{5200};
+constexpr milliseconds DrainStepInterval{100};
 /// @}
 
 /// Closes idle sessions a few at a time, so that they do not all come back to
 /// the other instances at once.
 void closeSomeIdle(platform_instance_state &State, base::microseconds Elapsed) {
   constexpr std::size_t Rounds = 6;
-  const bool Late = Elapsed >= TransactionsEnd;
+  const bool Late = Elapsed >= TransactionDeadline;
   const std::size_t Open = State.Callers.open();
   State.Callers.closeIdle(Late ? Open : Open / Rounds + 1);
 }
@@ -111,26 +111,27 @@
   const base::instant Begun = base::now();
   if (State->Peers)
     State->Peers->drain();
-  while (base::now() - Begun < CallersKnow)
-    co_await pauseAbout(*State, DrainPace);
+  while (base::now() - Begun < BalancerNoticeTime)
+    co_await pauseWithJitter(*State, DrainStepInterval);
   State->Callers.stopAccepting();
   State->Core.Draining = true;
   // The callers go elsewhere now, and their parts of the rates with them.
   yieldRates(State->Shares);
   const auto IsBusy = [&State] {
-    const bool Relays = State->RelayServer && State->RelayServer->leases() > 0;
-    return State->Callers.open() > 0 || Relays;
+    const bool Forwarding =
+        State->ForwardingServer && State->ForwardingServer->leases() > 0;
+    return State->Callers.open() > 0 || Forwarding;
   };
-  while (IsBusy() && base::now() - Begun < AnswersEnd) {
+  while (IsBusy() && base::now() - Begun < AnswerDeadline) {
     const auto Elapsed = base::now() - Begun;
-    if (Elapsed >= TransactionsEnd)
+    if (Elapsed >= TransactionDeadline)
       State->Callers.endTransactions();
     closeSomeIdle(*State, Elapsed);
-    co_await pauseAbout(*State, DrainPace);
+    co_await pauseWithJitter(*State, DrainStepInterval);
   }
   co_await leaveFleet(*State);
-  if (State->RelayServer)
-    State->RelayServer->stop();
+  if (State->ForwardingServer)
+    State->ForwardingServer->stop();
   State->Stopped = true;
   State->Life.process(kernel::life_event::Drained);
   State->Context.stop();
@@ -143,7 +144,7 @@
     : Context(Context), Settings(std::move(Given)),
       Store{Context.get_executor(), Settings.Platform, Settings.Name,
             Settings.PlatformTimeout},
-      Reader(Context.get_executor(), Settings.Platform),
+      StoreReader(Context.get_executor(), Settings.Platform),
       Endpoints(Context.get_executor(), Settings.Zone, {}), Core(Endpoints),
       Callers(Context.get_executor(), Core),
       Readiness(Context.get_executor(), {},
@@ -155,7 +156,7 @@
                 return answerMetrics(*this);
               }),
       Promotions(Context.get_executor(), Settings.Promotions),
-      Loans(Context.get_executor(), Endpoints.Watch), Life(entered),
+      TokenWaits(Context.get_executor(), Endpoints.Watch), Life(noteLifeState),
       Random(std::random_device()()) {
   Endpoints.Factory =
       platform::databaseLinks(Context.get_executor(), Endpoints.Watch);
@@ -164,8 +165,8 @@
 }
 
 bool isCutOff(const platform_instance_state &State) {
-  return State.OutOfTouchSince &&
-         base::now() - *State.OutOfTouchSince > CutOffAfter;
+  return State.OutOfContactSince &&
+         base::now() - *State.OutOfContactSince > CutOffAfter;
 }
 
 bool isReady(const platform_instance_state &State) {
@@ -183,17 +184,17 @@
     settleDemandToken(State.Shares, Customer, Ran, base::now());
   };
   Ports.Right = [&State](std::string_view Service) {
-    return rightTo(State, Service);
+    return primaryLeaseFor(State, Service);
   };
   Ports.StillHolds = [&State](const session::primary_right &Right) {
-    return rightTo(State, Right.Service) == Right;
+    return primaryLeaseFor(State, Right.Service) == Right;
   };
   Ports.PrimaryExpected = [&State](std::string_view Service) {
     return primaryExpected(State, Service);
   };
   Ports.Relay = [&State](const session::endpoint_entry &Entry,
                          std::string_view Customer, unsigned Priority) {
-    return relayTo(State, Entry, Customer, Priority);
+    return forwardingLinkTo(State, Entry, Customer, Priority);
   };
   Ports.NoteTrouble = [](std::string_view) {};
   return Ports;
@@ -204,21 +205,22 @@
 /// An instance that may not use primaries can serve little: callers do better
 /// elsewhere. Those with sessions here come back through the balancer, which
 /// sends no one to an instance that is not ready.
-void noteTouch(platform_instance_state &State) {
-  if (isInTouch(State)) {
-    State.OutOfTouchSince.reset();
+void noteFleetContact(platform_instance_state &State) {
+  if (isInContactWithFleet(State)) {
+    State.OutOfContactSince.reset();
     return;
   }
-  if (!State.OutOfTouchSince)
-    State.OutOfTouchSince = base::now();
+  if (!State.OutOfContactSince)
+    State.OutOfContactSince = base::now();
   constexpr std::size_t ClosedAtOnce = 20;
   if (isCutOff(State))
     State.Callers.closeIdle(ClosedAtOnce);
 }
 
 /// Callers are taken once there is a configuration to serve them by.
-void openToCallers(platform_instance_state &State) {
-  if (State.Listening || !State.Routes || !State.ListAt || !State.FleetReadAt)
+void listenForCallers(platform_instance_state &State) {
+  if (State.Listening || !State.Routes || !State.EndpointListAt ||
+      !State.FleetReadAt)
     return;
   State.Listening = true;
   if (const auto Listening = State.Callers.listen(State.Settings.Callers);
@@ -231,13 +233,13 @@
 base::task<void> runPlatformHousekeeping(platform_instance_ptr State) {
   while (true) {
     base::flushLog();
-    noteTouch(*State);
-    openToCallers(*State);
+    noteFleetContact(*State);
+    listenForCallers(*State);
     divideConnections(*State);
     State->Callers.endAbandoned();
     for (auto &[Name, Pool] : State->Endpoints.Pools)
       Pool->closeUnused(base::now());
-    co_await pauseAbout(*State, HousekeepingEvery);
+    co_await pauseWithJitter(*State, HousekeepingInterval);
   }
 }
 
@@ -259,7 +261,7 @@
   asio::co_spawn(Executor, joinFleet(State), asio::detached);
   asio::co_spawn(Executor, followConfiguration(State), asio::detached);
   asio::co_spawn(Executor, followEndpoints(State), asio::detached);
-  asio::co_spawn(Executor, guardPrimaries(State), asio::detached);
+  asio::co_spawn(Executor, monitorPrimaries(State), asio::detached);
   asio::co_spawn(Executor, runPlatformHousekeeping(State), asio::detached);
   State->Life.process(kernel::life_event::Ready);
   return {};
--- a/packages/redwinggw/src/platform_primaries.cpp
+++ b/packages/redwinggw/src/platform_primaries.cpp
@@ -10,25 +10,25 @@
 
 /// From the claim to a new primary that serves: the acknowledgements, and the
 /// platform's promotion of up to a second.
-constexpr milliseconds MoveTakes{1300};
+constexpr milliseconds ExpectedMoveTime{1300};
 
 } // namespace
 
-bool isInTouch(platform_instance_state &State) {
+bool isInContactWithFleet(platform_instance_state &State) {
   if (!State.Peers)
     return false;
   const control::currency Now = State.Peers->judgeCurrency(base::now());
-  if (Now != State.Currency)
+  if (Now != State.Freshness)
     base::logEvent(base::log_level::Info, base::log_part::Peers, "in_touch",
-                   {{"was", std::string(currencyName(State.Currency))},
+                   {{"was", std::string(currencyName(State.Freshness))},
                     {"is", std::string(currencyName(Now))},
                     {"claims", std::to_string(State.Claims.Version)}});
-  State.Currency = Now;
+  State.Freshness = Now;
   return Now != control::currency::Isolated;
 }
 
-void noteStore(platform_instance_state &State, bool Answered,
-               std::string_view Reason) {
+void noteStoreResult(platform_instance_state &State, bool Answered,
+                     std::string_view Reason) {
   if (Answered == State.StoreUp)
     return;
   State.StoreUp = Answered;
@@ -49,13 +49,13 @@
   return {};
 }
 
-std::optional<session::primary_right> rightTo(platform_instance_state &State,
-                                              std::string_view Service) {
+std::optional<session::primary_right>
+primaryLeaseFor(platform_instance_state &State, std::string_view Service) {
   const auto *Known = findClaim(State.Claims, Service);
   if (Known != nullptr && Known->Claim.Moving)
     return std::nullopt;
   base::endpoint_name Primary = primaryOf(State, Service);
-  if (Primary.empty() || !isInTouch(State))
+  if (Primary.empty() || !isInContactWithFleet(State))
     return std::nullopt;
   return session::primary_right{std::string(Service), std::move(Primary),
                                 Known == nullptr ? 0 : Known->Claim.Epoch};
@@ -70,23 +70,23 @@
   const auto Elapsed =
       std::chrono::duration_cast<milliseconds>(base::now() - Known->Since);
   // One that takes longer is stuck, and nobody knows for how long.
-  constexpr milliseconds Stuck = 2 * MoveTakes;
+  constexpr milliseconds Stuck = 2 * ExpectedMoveTime;
   if (Elapsed > Stuck)
     return std::nullopt;
   constexpr milliseconds Least{100};
-  return std::max(Least, MoveTakes - Elapsed);
+  return std::max(Least, ExpectedMoveTime - Elapsed);
 }
 
-bool takeClaim(platform_instance_state &State,
-               const session::primary_claim &Claim) {
+bool acceptClaim(platform_instance_state &State,
+                 const session::primary_claim &Claim) {
   // To know a later claim is to acknowledge it, after which its orderer may
   // order too. An earlier order of ours that is still on its way would then
   // come after that one, so it has to end first; the claim is told again.
-  if (State.Ordering.contains(Claim.Service))
+  if (State.PromotionsInFlight.contains(Claim.Service))
     return false;
   if (!applyClaim(State.Claims, Claim, base::now()))
     return false;
-  tellClaims(State);
+  announceClaims(State);
   base::logEvent(base::log_level::Info, base::log_part::Failover,
                  Claim.Moving ? "primary_given_up" : "primary_agreed",
                  {{"service", Claim.Service},
--- a/packages/redwinggw/src/platform_probing.cpp
+++ b/packages/redwinggw/src/platform_probing.cpp
@@ -14,7 +14,7 @@
 /// A statement without an answer for so long makes a probe worth its slot.
 constexpr milliseconds ProbeAfter{250};
 /// Set-up and answer of a probe; a busy endpoint answers within this time.
-constexpr milliseconds ProbeTime{450};
+constexpr milliseconds ProbeTimeout{450};
 /// The name under which the system itself connects.
 constexpr std::string_view OwnCustomer = "-";
 
@@ -23,7 +23,7 @@
   if (Entry != nullptr) {
     const instant Sent = base::now();
     const session::endpoint_entry Copy = *Entry;
-    const auto Status = co_await askStatus(*State, Copy, ProbeTime);
+    const auto Status = co_await askStatus(*State, Copy, ProbeTimeout);
     const bool Up = Status.Outcome == session::exchange_outcome::Answered &&
                     (!Status.Error ||
                      Status.Error->Code != session::answer_code::Misrouted);
--- a/packages/redwinggw/src/platform_rates.cpp
+++ b/packages/redwinggw/src/platform_rates.cpp
@@ -12,7 +12,7 @@
 using base::milliseconds;
 
 /// A loan is there within a few round trips; later it serves the next one.
-constexpr milliseconds LoanTime{15};
+constexpr milliseconds TransferTimeout{15};
 
 session::admission admissionOf(const control::demand_verdict &Verdict) {
   return {Verdict.Admitted, Verdict.Counted, Verdict.Wait};
@@ -20,12 +20,12 @@
 
 /// A keeper answers within a round trip; one that is slow or gone is not waited
 /// for.
-constexpr milliseconds KeeperTime{40};
+constexpr milliseconds BucketOwnerTimeout{40};
 
 /// Counts tokens that went from one instance to another.
-void countLoan(platform_instance_state &State,
-               const base::customer_name &Customer, std::string_view Step,
-               double Tokens) {
+void countTransfer(platform_instance_state &State,
+                   const base::customer_name &Customer, std::string_view Step,
+                   double Tokens) {
   counterOf(State.Core.Metrics, base::metric::ShareTokensTotal,
             {Customer, std::string(Step)})
       .Value += Tokens;
@@ -33,23 +33,25 @@
 
 /// Asks another instance for tokens and waits for its answer. False when there
 /// is nobody to ask or no answer in time.
-base::task<bool> borrow(platform_instance_state &State,
-                        const std::string &Customer, double Missing) {
+base::task<bool> fetchTokens(platform_instance_state &State,
+                             const std::string &Customer, double Missing) {
   const instant Now = base::now();
   if (!State.Peers)
     co_return false;
-  const auto Loan = askForTokens(State.Lending, State.Shares,
-                                 State.Peers->view(), Customer, Missing, Now);
-  if (!Loan)
+  const auto Transfer =
+      askForTokens(State.Transfers, State.Shares, State.Peers->view(), Customer,
+                   Missing, Now);
+  if (!Transfer)
     co_return false;
   wire::share_message Message;
   Message.Kind = wire::share_kind::Request;
-  Message.Number = State.Loans.nextNumber();
-  Message.Entries.push_back({Customer, static_cast<float>(Loan->Tokens), 0, 0});
+  Message.Number = State.TokenWaits.nextNumber();
+  Message.Entries.push_back(
+      {Customer, static_cast<float>(Transfer->Tokens), 0, 0});
   const std::uint64_t Number = Message.Number;
-  if (!State.Peers->send(Loan->Lender, std::move(Message)))
+  if (!State.Peers->send(Transfer->Lender, std::move(Message)))
     co_return false;
-  co_return co_await State.Loans.wait(Number, Now + LoanTime);
+  co_return co_await State.TokenWaits.wait(Number, Now + TransferTimeout);
 }
 
 wire::share_message answerTo(const wire::share_message &Request,
@@ -62,13 +64,13 @@
 
 /// Answers a request for tokens; also when there are none, so that nobody
 /// waits in vain.
-void lend(platform_instance_state &State, const base::instance_name &To,
-          const wire::share_message &Request) {
+void sendTokens(platform_instance_state &State, const base::instance_name &To,
+                const wire::share_message &Request) {
   wire::share_message Grant = answerTo(Request, wire::share_kind::Grant);
   for (const wire::share_entry &Entry : Request.Entries) {
     const double Given =
         lendTokens(State.Shares, Entry.Customer, Entry.Tokens, base::now());
-    countLoan(State, Entry.Customer, "given", Given);
+    countTransfer(State, Entry.Customer, "given", Given);
     Grant.Entries.push_back({Entry.Customer, static_cast<float>(Given), 0, 0});
   }
   State.Peers->send(To, std::move(Grant));
@@ -87,7 +89,7 @@
     return;
   }
   const float Given = Answer->Given ? 1 : 0;
-  countLoan(State, Entry.Customer, "given", Given);
+  countTransfer(State, Entry.Customer, "given", Given);
   wire::share_message Grant = answerTo(Request, wire::share_kind::Grant);
   Grant.Entries.push_back({Entry.Customer, Given,
                            static_cast<std::uint32_t>(Answer->Wait.count()), 0,
@@ -97,11 +99,11 @@
 
 /// Hands a keeper's answer to the operation that waits for it. True when there
 /// was one.
-bool takeKeeperAnswer(platform_instance_state &State,
-                      const wire::share_message &Answer) {
+bool acceptBucketOwnerAnswer(platform_instance_state &State,
+                             const wire::share_message &Answer) {
   const bool Grants = Answer.Kind == wire::share_kind::Grant;
-  const auto Asked = State.KeeperAnswers.find(Answer.Number);
-  if (Asked == State.KeeperAnswers.end() ||
+  const auto Asked = State.BucketOwnerAnswers.find(Answer.Number);
+  if (Asked == State.BucketOwnerAnswers.end() ||
       (!Grants && Answer.Kind != wire::share_kind::Moved))
     return false;
   if (Grants && Answer.Entries.size() == 1) {
@@ -109,44 +111,44 @@
     Asked->second = control::keeper_answer{Entry.Tokens > 0,
                                            base::microseconds(Entry.WaitUs)};
   }
-  State.Loans.wake(Answer.Number);
+  State.TokenWaits.wake(Answer.Number);
   return true;
 }
 
 /// Asks the keeper of the customer's bucket. Nothing when it did not answer, or
 /// does not keep it.
 base::task<std::optional<control::keeper_answer>>
-askKeeper(platform_instance_state &State, const control::member &Keeper,
-          const std::string &Customer, unsigned Priority,
-          base::microseconds Patience) {
+askBucketOwner(platform_instance_state &State, const control::member &Owner,
+               const std::string &Customer, unsigned Priority,
+               base::microseconds Patience) {
   wire::share_message Message;
   Message.Kind = wire::share_kind::Take;
-  const std::uint64_t Number = State.Loans.nextNumber();
+  const std::uint64_t Number = State.TokenWaits.nextNumber();
   Message.Number = Number;
   constexpr unsigned LeastUrgent = UINT8_MAX;
   Message.Entries.push_back(
       {Customer, 1, static_cast<std::uint32_t>(Patience.count()), 0,
        static_cast<std::uint8_t>(std::min(Priority, LeastUrgent))});
-  State.KeeperAnswers[Number];
-  if (State.Peers->send(Keeper.Name, std::move(Message)))
-    co_await State.Loans.wait(Number, base::now() + KeeperTime);
-  const auto Answer = State.KeeperAnswers.extract(Number);
+  State.BucketOwnerAnswers[Number];
+  if (State.Peers->send(Owner.Name, std::move(Message)))
+    co_await State.TokenWaits.wait(Number, base::now() + BucketOwnerTimeout);
+  const auto Answer = State.BucketOwnerAnswers.extract(Number);
   co_return Answer.mapped();
 }
 
 /// Admits an operation by the bucket that another instance keeps.
 base::task<control::demand_verdict>
-admitByKeeper(platform_instance_state &State, const std::string &Customer,
-              unsigned Priority, base::microseconds Patience,
-              control::demand_verdict Here) {
-  const control::member *Keeper =
+admitByBucketOwner(platform_instance_state &State, const std::string &Customer,
+                   unsigned Priority, base::microseconds Patience,
+                   control::demand_verdict Here) {
+  const control::member *Owner =
       State.Peers ? rateKeeper(State.Shares, State.Peers->view(), Customer)
                   : nullptr;
   // This instance keeps it, and it is empty.
-  if (Keeper == nullptr)
+  if (Owner == nullptr)
     co_return Here;
   const auto Answer =
-      co_await askKeeper(State, *Keeper, Customer, Priority, Patience);
+      co_await askBucketOwner(State, *Owner, Customer, Priority, Patience);
   if (!Answer) {
     counterOf(State.Core.Metrics, base::metric::ShareTokensTotal,
               {Customer, "unanswered"})
@@ -157,14 +159,15 @@
   co_return verdictOf(State.Shares, Customer, *Answer);
 }
 
-void takeGrant(platform_instance_state &State, const base::instance_name &From,
-               const wire::share_message &Grant) {
+void acceptGrant(platform_instance_state &State,
+                 const base::instance_name &From,
+                 const wire::share_message &Grant) {
   for (const wire::share_entry &Entry : Grant.Entries) {
-    takeLoan(State.Lending, State.Shares, From, Entry.Customer, Entry.Tokens,
+    takeLoan(State.Transfers, State.Shares, From, Entry.Customer, Entry.Tokens,
              base::now());
-    countLoan(State, Entry.Customer, "taken", Entry.Tokens);
+    countTransfer(State, Entry.Customer, "taken", Entry.Tokens);
   }
-  State.Loans.wake(Grant.Number);
+  State.TokenWaits.wake(Grant.Number);
 }
 
 } // namespace
@@ -174,16 +177,17 @@
                                               unsigned Priority,
                                               base::microseconds Patience) {
   // The first one asked may have lent its tokens a moment ago.
-  constexpr unsigned MostLenders = 2;
+  constexpr unsigned MaxSenders = 2;
   auto Verdict =
       takeDemandToken(State.Shares, Customer, Priority, Patience, base::now());
   if (!Verdict.Admitted && isGathered(State.Shares, Customer)) {
-    Verdict =
-        co_await admitByKeeper(State, Customer, Priority, Patience, Verdict);
+    Verdict = co_await admitByBucketOwner(State, Customer, Priority, Patience,
+                                          Verdict);
     co_return admissionOf(Verdict);
   }
-  for (unsigned Asked = 0; Asked < MostLenders && !Verdict.Admitted; ++Asked) {
-    const bool Answered = co_await borrow(State, Customer, Verdict.Missing);
+  for (unsigned Asked = 0; Asked < MaxSenders && !Verdict.Admitted; ++Asked) {
+    const bool Answered =
+        co_await fetchTokens(State, Customer, Verdict.Missing);
     if (!Answered)
       break;
     Verdict = takeDemandToken(State.Shares, Customer, Priority, Patience,
@@ -192,17 +196,17 @@
   co_return admissionOf(Verdict);
 }
 
-void connectLending(platform_instance_state &State) {
+void connectTokenTransfers(platform_instance_state &State) {
   State.Peers->onShareMessage([&State](const wire::datagram &Datagram,
                                        const wire::share_message &Message) {
-    if (takeKeeperAnswer(State, Message))
+    if (acceptBucketOwnerAnswer(State, Message))
       return;
     if (Message.Kind == wire::share_kind::Take)
       answerTake(State, Datagram.Sender, Message);
     if (Message.Kind == wire::share_kind::Request)
-      lend(State, Datagram.Sender, Message);
+      sendTokens(State, Datagram.Sender, Message);
     if (Message.Kind == wire::share_kind::Grant)
-      takeGrant(State, Datagram.Sender, Message);
+      acceptGrant(State, Datagram.Sender, Message);
   });
 }
 
--- a/packages/redwinggw/src/wiring.cpp
+++ b/packages/redwinggw/src/wiring.cpp
@@ -39,7 +39,7 @@
     // Judged for each request: a process that was paused may answer callers
     // before its own timers run, with keys that were withdrawn meanwhile.
     // Without a sheet there is nobody to serve.
-    return judgeCurrency(State) != control::currency::Isolated &&
+    return judgeFreshness(State) != control::currency::Isolated &&
            State.Configuration.inForce().Version > 0;
   };
   Ports.Admit = [&State](base::customer_name Customer, base::instant Deadline) {
@@ -168,19 +168,19 @@
                 " is in force.");
 }
 
-control::currency judgeCurrency(instance_state &State) {
-  const control::currency Before = State.Currency;
-  State.Currency = State.Peers.judgeCurrency(base::now());
-  if (State.Currency == Before)
-    return State.Currency;
-  const std::string Name(control::currencyName(State.Currency));
+control::currency judgeFreshness(instance_state &State) {
+  const control::currency Before = State.Freshness;
+  State.Freshness = State.Peers.judgeCurrency(base::now());
+  if (State.Freshness == Before)
+    return State.Freshness;
+  const std::string Name(control::currencyName(State.Freshness));
   recordEvent(State, event_kind::ConfigurationStale, Name);
   base::log(base::log_level::Info, base::log_part::Configuration,
             "Currency is " + Name + ".");
-  return State.Currency;
+  return State.Freshness;
 }
 
-void tellSuspicions(instance_state &State) {
+void announceSuspicions(instance_state &State) {
   State.Peers.setGroupReports(ownReports(State));
 }
 
@@ -200,7 +200,7 @@
   });
   State.Peers.onReport([&State](const control::member &Member) {
     State.Configuration.noteVersionSeen(Member.Report.HeadVersion);
-    tellSuspicions(State);
+    announceSuspicions(State);
   });
 }
 
