--- a/packages/redwinggwctl/src/commands.hpp
+++ b/packages/redwinggwctl/src/commands.hpp
@@ -2,7 +2,7 @@
 
 #include "redwinggw/ctl/tool.hpp"
 
-#include "tool_asking.hpp"
+#include "tool_requests.hpp"
 
 #include <iosfwd>
 #include <string_view>
@@ -12,7 +12,7 @@
 
 /// What a command works with.
 struct command_context {
-  asker Asker;
+  tool_client Client;
   const tool_options &Options;
   /// The words after the command.
   std::vector<std::string> Operands;
@@ -26,8 +26,8 @@
   std::string_view Name;
   /// Names of operands for the help; those in brackets may be left out.
   std::string_view Operands;
-  std::size_t LeastOperands;
-  std::size_t MostOperands;
+  std::size_t MinOperands;
+  std::size_t MaxOperands;
   std::string_view Help;
   exit_code (*Run)(command_context &);
 };
--- a/packages/redwinggwctl/src/fleet_commands.cpp
+++ b/packages/redwinggwctl/src/fleet_commands.cpp
@@ -103,7 +103,7 @@
 } // namespace
 
 exit_code showStatus(command_context &Context) {
-  const auto Answers = askAll(Context.Asker, "/operators/status");
+  const auto Answers = requestAll(Context.Client, "/operators/status");
   if (!anyAnswered(Answers))
     return report(Context, firstFailure(Answers));
   if (Context.Options.Json) {
@@ -123,7 +123,7 @@
 }
 
 exit_code showTimeline(command_context &Context) {
-  const auto Answers = askAll(Context.Asker, "/operators/timeline");
+  const auto Answers = requestAll(Context.Client, "/operators/timeline");
   if (!anyAnswered(Answers))
     return report(Context, firstFailure(Answers));
   auto Events = base::mergeTimelines(linesOf(Context, Answers));
@@ -142,7 +142,7 @@
 }
 
 exit_code showMetrics(command_context &Context) {
-  const auto Text = fetchMetrics(Context.Asker);
+  const auto Text = fetchMetrics(Context.Client);
   if (!Text)
     return report(Context, Text.error());
   Context.Out << *Text;
@@ -158,7 +158,7 @@
                           "drain stops one instance; name exactly one address "
                           "with --operators"));
   const auto Answer =
-      ask(Context.Asker, "/operators/drain", {}, effect::Changes);
+      requestAny(Context.Client, "/operators/drain", {}, effect::Changes);
   if (!Answer)
     return report(Context, Answer.error());
   if (Context.Options.Json)
--- a/packages/redwinggwctl/src/sheet_commands.cpp
+++ b/packages/redwinggwctl/src/sheet_commands.cpp
@@ -33,7 +33,7 @@
 
 /// The sheet of the first operand, when it has no faults; otherwise prints
 /// them. Nothing is sent: an instance would find the same.
-result<std::string> goodSheet(command_context &Context) {
+result<std::string> readValidSheet(command_context &Context) {
   auto Text = readFile(Context.Operands.front());
   if (!Text)
     return Text;
@@ -110,7 +110,7 @@
 } // namespace
 
 exit_code checkSheet(command_context &Context) {
-  const auto Sheet = goodSheet(Context);
+  const auto Sheet = readValidSheet(Context);
   if (!Sheet)
     return report(Context, Sheet.error());
   if (!printedAsJson(Context, {{"ok", true}, {"faults", json::array()}}))
@@ -119,11 +119,11 @@
 }
 
 exit_code diffSheet(command_context &Context) {
-  const auto Sheet = goodSheet(Context);
+  const auto Sheet = readValidSheet(Context);
   if (!Sheet)
     return report(Context, Sheet.error());
-  const auto Answer = ask(Context.Asker, "/operators/sheet/diff",
-                          {{"sheet", *Sheet}}, effect::ReadOnly);
+  const auto Answer = requestAny(Context.Client, "/operators/sheet/diff",
+                                 {{"sheet", *Sheet}}, effect::ReadOnly);
   if (!Answer)
     return report(Context, Answer.error());
   if (printedAsJson(Context, *Answer))
@@ -141,11 +141,11 @@
 }
 
 exit_code submitSheet(command_context &Context) {
-  const auto Sheet = goodSheet(Context);
+  const auto Sheet = readValidSheet(Context);
   if (!Sheet)
     return report(Context, Sheet.error());
-  const auto Answer = ask(Context.Asker, "/operators/sheet/submit",
-                          {{"sheet", *Sheet}}, effect::Changes);
+  const auto Answer = requestAny(Context.Client, "/operators/sheet/submit",
+                                 {{"sheet", *Sheet}}, effect::Changes);
   if (!Answer)
     return report(Context, Answer.error());
   if (!printedAsJson(Context, *Answer))
@@ -157,8 +157,8 @@
   const auto Body = withNumber(Context, "version");
   if (!Body)
     return report(Context, Body.error());
-  const auto Answer =
-      ask(Context.Asker, "/operators/sheet/show", *Body, effect::ReadOnly);
+  const auto Answer = requestAny(Context.Client, "/operators/sheet/show", *Body,
+                                 effect::ReadOnly);
   if (!Answer)
     return report(Context, Answer.error());
   const json::value *Sheet = Answer->if_contains("sheet");
@@ -171,8 +171,8 @@
   const auto Body = withNumber(Context, "count");
   if (!Body)
     return report(Context, Body.error());
-  const auto Answer =
-      ask(Context.Asker, "/operators/sheet/history", *Body, effect::ReadOnly);
+  const auto Answer = requestAny(Context.Client, "/operators/sheet/history",
+                                 *Body, effect::ReadOnly);
   if (!Answer)
     return report(Context, Answer.error());
   if (printedAsJson(Context, *Answer))
@@ -187,8 +187,8 @@
 
 exit_code giveKey(command_context &Context) {
   const auto Answer =
-      ask(Context.Asker, "/operators/key/give",
-          {{"customer", Context.Operands.front()}}, effect::Changes);
+      requestAny(Context.Client, "/operators/key/give",
+                 {{"customer", Context.Operands.front()}}, effect::Changes);
   if (!Answer)
     return report(Context, Answer.error());
   if (printedAsJson(Context, *Answer))
@@ -201,8 +201,9 @@
 }
 
 exit_code withdrawKey(command_context &Context) {
-  const auto Answer = ask(Context.Asker, "/operators/key/withdraw",
-                          {{"id", Context.Operands.front()}}, effect::Changes);
+  const auto Answer =
+      requestAny(Context.Client, "/operators/key/withdraw",
+                 {{"id", Context.Operands.front()}}, effect::Changes);
   if (!Answer)
     return report(Context, Answer.error());
   if (!printedAsJson(Context, *Answer))
@@ -212,7 +213,7 @@
 
 exit_code listCustomers(command_context &Context) {
   const auto Answer =
-      ask(Context.Asker, "/operators/customers", {}, effect::ReadOnly);
+      requestAny(Context.Client, "/operators/customers", {}, effect::ReadOnly);
   if (!Answer)
     return report(Context, Answer.error());
   if (!printedAsJson(Context, *Answer))
@@ -222,7 +223,7 @@
 
 exit_code showCustomer(command_context &Context) {
   const auto Answer =
-      ask(Context.Asker, "/operators/customers", {}, effect::ReadOnly);
+      requestAny(Context.Client, "/operators/customers", {}, effect::ReadOnly);
   if (!Answer)
     return report(Context, Answer.error());
   for (const json::value &Customer : Answer->at("customers").as_array()) {
--- a/packages/redwinggwctl/src/tool.cpp
+++ b/packages/redwinggwctl/src/tool.cpp
@@ -137,7 +137,7 @@
                           Out,
                           Err};
   const std::size_t Operands = Context.Operands.size();
-  if (Operands < Command->LeastOperands || Operands > Command->MostOperands)
+  if (Operands < Command->MinOperands || Operands > Command->MaxOperands)
     return usage(Err, "usage: " + std::string(Command->Name) + " " +
                           std::string(Command->Operands));
   try {
--- a/packages/redwinggwctl/src/tool_asking.cpp
+++ b/packages/redwinggwctl/src/tool_requests.cpp
@@ -1,4 +1,4 @@
-#include "tool_asking.hpp"
+#include "tool_requests.hpp"
 
 #include "redwinggw/http/client.hpp"
 
@@ -18,12 +18,12 @@
 using base::result;
 
 constexpr unsigned StatusOk = 200;
-constexpr std::chrono::seconds Patience{15};
+constexpr std::chrono::seconds RequestTimeout{15};
 
-http::request requestOf(const asker &Asker, const std::string &Path) {
+http::request requestOf(const tool_client &Client, const std::string &Path) {
   http::request Request;
   Request.Target = Path;
-  Request.Authorization = "Bearer " + Asker.Options.OperatorKey;
+  Request.Authorization = "Bearer " + Client.Options.OperatorKey;
   return Request;
 }
 
@@ -47,7 +47,7 @@
 }
 
 /// True when the request had no effect and another instance may take it.
-bool mayAskNext(const failure &Failure, effect Effect) {
+bool mayTryNextInstance(const failure &Failure, effect Effect) {
   switch (kindOf(Failure)) {
   case errc::InstanceUnreachable:
   case errc::Draining:
@@ -75,9 +75,10 @@
           "no instance is named; give --operators or --config"};
 }
 
-std::vector<http::address> allAddresses(const asker &Asker) {
-  std::vector<http::address> Addresses = Asker.Options.Operators;
-  const auto Listed = ask(Asker, "/operators/instances", {}, effect::ReadOnly);
+std::vector<http::address> allAddresses(const tool_client &Client) {
+  std::vector<http::address> Addresses = Client.Options.Operators;
+  const auto Listed =
+      requestAny(Client, "/operators/instances", {}, effect::ReadOnly);
   const json::value *Instances =
       Listed ? Listed->if_contains("instances") : nullptr;
   if (Instances != nullptr && Instances->is_array())
@@ -103,7 +104,7 @@
   boost::asio::co_spawn(
       Context,
       http::exchangeOnce(Context.get_executor(), Address, Request,
-                         base::now() + Patience),
+                         base::now() + RequestTimeout),
       [&](const std::exception_ptr &Error, result<http::response> Got) {
         if (!Error)
           Response = std::move(Got);
@@ -112,41 +113,44 @@
   return Response;
 }
 
-result<json::object> askOne(const asker &Asker, const http::address &Address,
-                            const std::string &Path, const json::object &Body) {
-  http::request Request = requestOf(Asker, Path);
+result<json::object> requestOne(const tool_client &Client,
+                                const http::address &Address,
+                                const std::string &Path,
+                                const json::object &Body) {
+  http::request Request = requestOf(Client, Path);
   Request.Body = json::serialize(Body);
-  const auto Response = Asker.Exchange(Address, Request);
+  const auto Response = Client.Exchange(Address, Request);
   if (Response)
     return bodyOf(*Response);
   return instanceFailure(Response.error());
 }
 
-result<json::object> ask(const asker &Asker, const std::string &Path,
-                         const json::object &Body, effect Effect) {
+result<json::object> requestAny(const tool_client &Client,
+                                const std::string &Path,
+                                const json::object &Body, effect Effect) {
   result<json::object> Answer = noAddress();
-  for (const http::address &Address : Asker.Options.Operators) {
-    Answer = askOne(Asker, Address, Path, Body);
-    if (Answer || !mayAskNext(Answer.error(), Effect))
+  for (const http::address &Address : Client.Options.Operators) {
+    Answer = requestOne(Client, Address, Path, Body);
+    if (Answer || !mayTryNextInstance(Answer.error(), Effect))
       return Answer;
   }
   return Answer;
 }
 
-std::vector<instance_answer> askAll(const asker &Asker,
-                                    const std::string &Path) {
+std::vector<instance_answer> requestAll(const tool_client &Client,
+                                        const std::string &Path) {
   std::vector<instance_answer> Answers;
-  for (const http::address &Address : allAddresses(Asker))
-    Answers.push_back({Address, askOne(Asker, Address, Path, {})});
+  for (const http::address &Address : allAddresses(Client))
+    Answers.push_back({Address, requestOne(Client, Address, Path, {})});
   return Answers;
 }
 
-result<std::string> fetchMetrics(const asker &Asker) {
+result<std::string> fetchMetrics(const tool_client &Client) {
   result<std::string> Answer = noAddress();
-  http::request Request = requestOf(Asker, "/operators/metrics");
+  http::request Request = requestOf(Client, "/operators/metrics");
   Request.Method = "GET";
-  for (const http::address &Address : Asker.Options.Operators) {
-    const auto Response = Asker.Exchange(Address, Request);
+  for (const http::address &Address : Client.Options.Operators) {
+    const auto Response = Client.Exchange(Address, Request);
     if (Response && Response->Status == StatusOk)
       return Response->Body;
     Answer = Response ? bodyOf(*Response).error()
--- a/packages/redwinggwctl/src/tool_asking.hpp
+++ b/packages/redwinggwctl/src/tool_requests.hpp
@@ -18,30 +18,30 @@
   base::result<boost::json::object> Body;
 };
 
-struct asker {
+struct tool_client {
   const exchange_port &Exchange;
   const tool_options &Options;
 };
 
 /// Asks one instance. Fails with errc::EndpointUnreachable, with
 /// errc::OutcomeUnknown, and with what the instance refused with.
-base::result<boost::json::object> askOne(const asker &Asker,
-                                         const http::address &Address,
-                                         const std::string &Path,
-                                         const boost::json::object &Body);
+base::result<boost::json::object> requestOne(const tool_client &Client,
+                                             const http::address &Address,
+                                             const std::string &Path,
+                                             const boost::json::object &Body);
 
 /// Asks the given instances in turn until one answers. After an unknown
 /// outcome of a change no other one is asked.
-base::result<boost::json::object> ask(const asker &Asker,
-                                      const std::string &Path,
-                                      const boost::json::object &Body,
-                                      effect Effect);
+base::result<boost::json::object> requestAny(const tool_client &Client,
+                                             const std::string &Path,
+                                             const boost::json::object &Body,
+                                             effect Effect);
 
 /// Asks all given instances and those on the platform's list.
-std::vector<instance_answer> askAll(const asker &Asker,
-                                    const std::string &Path);
+std::vector<instance_answer> requestAll(const tool_client &Client,
+                                        const std::string &Path);
 
 /// Fetches the metrics of the first instance that answers.
-base::result<std::string> fetchMetrics(const asker &Asker);
+base::result<std::string> fetchMetrics(const tool_client &Client);
 
 } // namespace redwinggw::ctl
