--- a/tests/demo/demo.cpp
+++ b/tests/demo/demo.cpp
@@ -134,7 +134,7 @@
                  "another endpoint is the primary");
   if (Primary == nullptr)
     return;
-  const auto Lies = lies(Fleet, Primary->Name, Records);
+  const auto Lies = consistencyViolations(Fleet, Primary->Name, Records);
   for (const std::string &Lie : Lies)
     std::cout << "  " << Lie << "\n";
   Verdict.expect(Lies.empty(), std::to_string(Records.size()) +
--- a/tests/process/failover_process_test.cpp
+++ b/tests/process/failover_process_test.cpp
@@ -37,7 +37,7 @@
 
 /// Writes through both instances while \p Break, and then \p Heal, happen;
 /// then compares what the callers were told with the data of the primary.
-void disturb(const step &Break, const step &Heal) {
+void writeThroughFault(const step &Break, const step &Heal) {
   running_fleet Fleet(smallPlan());
   Fleet.start();
   std::vector<redwinggw::http::address> Instances;
@@ -48,40 +48,40 @@
   constexpr std::int64_t OtherMarks = 1'000'000;
   background_writer Other(caller(customerKey("aterro"), "orders"), Instances,
                           OtherMarks);
-  cr_assert(writesGoOn(Fleet, Writer));
+  cr_assert(writesContinue(Fleet, Writer));
   Break(Fleet);
   waitForAnotherPrimary(Fleet);
-  cr_assert(writesGoOn(Fleet, Writer));
+  cr_assert(writesContinue(Fleet, Writer));
   Heal(Fleet);
-  cr_assert(writesGoOn(Fleet, Writer));
+  cr_assert(writesContinue(Fleet, Writer));
   auto Records = Writer.stop();
   std::ranges::copy(Other.stop(), std::back_inserter(Records));
   const auto *Primary = Fleet.primaryOf(Group);
   cr_assert(Primary != nullptr);
-  const auto Lies = lies(Fleet, Primary->Name, Records);
-  for (const std::string &Lie : Lies)
-    std::cerr << Lie << "\n";
-  cr_assert(Lies.empty());
+  const auto Violations = consistencyViolations(Fleet, Primary->Name, Records);
+  for (const std::string &Violation : Violations)
+    std::cerr << Violation << "\n";
+  cr_assert(Violations.empty());
 }
 
-void nothing(running_fleet &) {}
+void doNothing(running_fleet &) {}
 
 } // namespace
 
 // The primary's machine dies while callers write. A caller sees a gap; each
 // write that was told "done" is there afterwards, once.
 Test(failover, a_killed_primary_loses_no_acknowledged_write) {
-  disturb(
+  writeThroughFault(
       [](running_fleet &Fleet) {
         Fleet.endpoint(FirstPrimary).Process->signal(SIGKILL);
       },
-      nothing);
+      doNothing);
 }
 
 // The network parts the primary from the instances, but not from its replicas,
 // and later heals. The old primary still believes to be one.
 Test(failover, a_primary_cut_from_instances_is_replaced) {
-  disturb(
+  writeThroughFault(
       [](running_fleet &Fleet) {
         setFault(Fleet, {{"kind", "cut"}, {"peer", "instances"}});
       },
@@ -91,7 +91,7 @@
 // The primary answers the instances but its log reaches no replica. What it
 // commits now would be lost with it, so nothing of it may be acknowledged.
 Test(failover, a_primary_cut_from_its_replicas_acknowledges_nothing) {
-  disturb(
+  writeThroughFault(
       [](running_fleet &Fleet) {
         setFault(Fleet, {{"kind", "cut"}, {"peer", "endpoints"}});
       },
@@ -101,7 +101,7 @@
 // The primary's process stands still, is replaced, and wakes up with requests
 // in its hands that it finishes as if no time had passed.
 Test(failover, a_primary_that_wakes_up_replaced_acknowledges_nothing) {
-  disturb(
+  writeThroughFault(
       [](running_fleet &Fleet) {
         Fleet.endpoint(FirstPrimary).Process->signal(SIGSTOP);
       },
--- a/tests/process/instance_life_test.cpp
+++ b/tests/process/instance_life_test.cpp
@@ -26,7 +26,7 @@
   running_instance &Instance = Fleet.instance("i1");
   caller Caller(customerKey("aterro"), "orders");
   reply Reply;
-  std::thread Clerk([&] {
+  std::thread CallerThread([&] {
     Reply = Caller.write(Instance.Callers, "insert into bag(grams) values(3)");
   });
   const bool Running = eventually([&] {
@@ -35,7 +35,7 @@
     return Counters.Body.at("running").as_int64() > 0;
   });
   Instance.Process->signal(SIGTERM);
-  Clerk.join();
+  CallerThread.join();
   const auto ExitCode = Instance.Process->wait(std::chrono::seconds(30));
   if (outcomeOf(Reply) != "done" || ExitCode != 0)
     std::cerr << Fleet.logs();
@@ -51,11 +51,11 @@
   Fleet.start();
   background_writer Writer(caller(customerKey("dulciuri"), "orders"),
                            callerAddresses(Fleet), 1);
-  cr_assert(writesGoOn(Fleet, Writer));
+  cr_assert(writesContinue(Fleet, Writer));
   Fleet.setFault(Primary, {{"kind", "silent"}});
-  cr_assert(writesGoOn(Fleet, Writer));
+  cr_assert(writesContinue(Fleet, Writer));
   const auto Records = Writer.stop();
   const auto *Now = Fleet.primaryOf("orders-db");
   cr_assert(Now != nullptr);
-  cr_assert(lies(Fleet, Now->Name, Records).empty());
+  cr_assert(consistencyViolations(Fleet, Now->Name, Records).empty());
 }
--- a/tests/process/paused_instance_test.cpp
+++ b/tests/process/paused_instance_test.cpp
@@ -76,7 +76,7 @@
   running_instance &Paused = Fleet.instance("i2");
   kept_connection Kept;
   Kept.Address = Paused.Callers;
-  std::thread Clerk([&] { runCaller(Kept); });
+  std::thread CallerThread([&] { runCaller(Kept); });
   Kept.FirstDone.get_future().wait();
   Paused.Process->signal(SIGSTOP);
   cr_assert(eventually([&] {
@@ -86,7 +86,7 @@
   // Longer than what was read of the store may be relied on.
   std::this_thread::sleep_for(std::chrono::milliseconds(2500));
   Paused.Process->signal(SIGCONT);
-  Clerk.join();
+  CallerThread.join();
   cr_assert(Kept.Second.find("not_run") != std::string::npos, "%s",
             Kept.Second.c_str());
   cr_assert(Fleet.dump("orders-db-1", "select * from bag").size() == 1);
--- a/tests/process/platform_outage_test.cpp
+++ b/tests/process/platform_outage_test.cpp
@@ -20,13 +20,13 @@
   Fleet.start();
   background_writer Writer(caller(customerKey("dulciuri"), "orders"),
                            callerAddresses(Fleet), 1);
-  cr_assert(writesGoOn(Fleet, Writer, Before));
+  cr_assert(writesContinue(Fleet, Writer, Before));
   Fleet.setFault("platform", {{"kind", "outage"}});
   for (int Round = 0; Round < 5; ++Round)
-    cr_assert(writesGoOn(Fleet, Writer));
+    cr_assert(writesContinue(Fleet, Writer));
   Fleet.setFault("platform", {{"kind", "none"}});
-  cr_assert(writesGoOn(Fleet, Writer));
-  cr_assert(lies(Fleet, Primary, Writer.stop()).empty());
+  cr_assert(writesContinue(Fleet, Writer));
+  cr_assert(consistencyViolations(Fleet, Primary, Writer.stop()).empty());
 }
 
 } // namespace
--- a/tests/support/background_writer.cpp
+++ b/tests/support/background_writer.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 /// A write that is not done after so many tries is left as it is.
-constexpr unsigned MostTries = 400;
+constexpr unsigned MaxTries = 400;
 
 } // namespace
 
@@ -63,7 +63,7 @@
   reply Reply = Caller.write(addressFor(Mark, 0),
                              "insert into bag(grams) values(?)", {Mark});
   for (unsigned Try = 1;
-       outcomeOf(Reply) != "done" && Try < MostTries && !Stopping; ++Try) {
+       outcomeOf(Reply) != "done" && Try < MaxTries && !Stopping; ++Try) {
     ++Refusals[Reply.Failure + textIn(Reply.Body, "error")];
     sleepBetweenPolls();
     Reply = Caller.repeat(addressFor(Mark, Try));
@@ -78,8 +78,8 @@
   return Addresses;
 }
 
-bool writesGoOn(running_fleet &Fleet, background_writer &Writer,
-                std::size_t Enough) {
+bool writesContinue(running_fleet &Fleet, background_writer &Writer,
+                    std::size_t Enough) {
   const std::size_t Wanted = Writer.done() + Enough;
   const bool Came = eventually([&] { return Writer.done() >= Wanted; });
   if (Came)
@@ -89,8 +89,9 @@
   return false;
 }
 
-std::vector<std::string> lies(running_fleet &Fleet, std::string_view Endpoint,
-                              const std::vector<write_record> &Records) {
+std::vector<std::string>
+consistencyViolations(running_fleet &Fleet, std::string_view Endpoint,
+                      const std::vector<write_record> &Records) {
   std::map<std::int64_t, std::int64_t> Rows;
   for (const auto &Row :
        Fleet.dump(Endpoint, "select grams, count(*) from bag group by grams"))
--- a/tests/support/background_writer.hpp
+++ b/tests/support/background_writer.hpp
@@ -65,13 +65,14 @@
 
 /// Waits, with a generous bound, for \p Enough more acknowledged writes. When
 /// they do not come, stops the writer and prints why, with the logs.
-bool writesGoOn(running_fleet &Fleet, background_writer &Writer,
-                std::size_t Enough = 50);
+bool writesContinue(running_fleet &Fleet, background_writer &Writer,
+                    std::size_t Enough = 50);
 
 /// Compares what callers were told with the rows of \p Endpoint. Returns a
 /// line for each lie: lost, doubled, kept although "not run", or missed by a
 /// read of its own session.
-std::vector<std::string> lies(running_fleet &Fleet, std::string_view Endpoint,
-                              const std::vector<write_record> &Records);
+std::vector<std::string>
+consistencyViolations(running_fleet &Fleet, std::string_view Endpoint,
+                      const std::vector<write_record> &Records);
 
 } // namespace redwinggw::fleet
