--- a/packages/redwinggw/src/instance.cpp
+++ b/packages/redwinggw/src/instance.cpp
@@ -19,7 +19,7 @@
 constexpr auto Token = asio::as_tuple(asio::use_awaitable);
 constexpr base::milliseconds HousekeepingInterval{100};
 constexpr base::milliseconds RecordCleanupInterval{10 * 60 * 1000};
-/// The balancer and callers on kept connections learn in this time that the
+/// Time in which the balancer and callers with open connections learn that the
 /// instance leaves.
 constexpr base::milliseconds MinDrainTime{500};
 
@@ -29,8 +29,8 @@
   co_await Timer.async_wait(Token);
 }
 
-/// Follows the platform's list: with more instances each opens fewer of an
-/// endpoint's connections.
+/// Divides the endpoints' connections anew when the number of instances on the
+/// platform's list changes.
 void shareConnections(instance_state &State) {
   const std::size_t Instances = instanceCount(State.Peers.view());
   if (Instances == State.SharedAmong)
@@ -40,12 +40,13 @@
                            Instances);
 }
 
-/// Work that comes back every so often: currency, abandoned transactions.
+/// One round of periodic work: freshness of the configuration, abandoned
+/// transactions, division of connections, suspicions.
 void housekeep(instance_state &State) {
   judgeFreshness(State);
   data::closeAbandoned(State.Statements, State.Transactions, base::now());
   shareConnections(State);
-  // A suspicion begins by the passing of time, without any event.
+  // A suspicion begins when time passes without an answer, not with an event.
   announceSuspicions(State);
 }
 
@@ -58,8 +59,8 @@
 
 base::task<void>
 deleteRecordsPeriodically(std::shared_ptr<instance_state> State) {
-  // The first pause is spread, so that instances started together do not clean
-  // together.
+  // The first pause is random, so that instances that were started together do
+  // not delete at the same time.
   std::uniform_int_distribution<std::int64_t> Spread(
       0, RecordCleanupInterval.count());
   base::milliseconds Pause(Spread(State->Statements.Random));
@@ -83,10 +84,11 @@
   return Idle || Waited >= State.Settings.DrainTime;
 }
 
-/// Graceful shutdown: out of the balancer first, then no new work; the running
-/// work gets its time while leases go to the next givers; then all closes.
-/// The peers' socket closes last: requests that wait for tokens, and the
-/// hand-over of the leases, go through it.
+/// Graceful shutdown: announces draining to the balancer and the peers and
+/// accepts no new work; waits for running work while leases of rates move to
+/// the next share allocators; then closes all services. The peers' socket
+/// closes last, since requests that wait for tokens and the hand-over of the
+/// leases need it.
 base::task<void> drain(std::shared_ptr<instance_state> State) {
   const base::instant Begun = base::now();
   State->Statements.Draining = true;
@@ -172,7 +174,7 @@
     return;
   State->Life.process(kernel::life_event::Stop);
   asio::co_spawn(State->Context, drain(State), [this](std::exception_ptr) {
-    // Timers and sockets of services that have nothing left to tell.
+    // Ends timers and sockets that remain of services without work.
     State->Context.stop();
   });
 }
--- a/packages/redwinggw/src/instance.hpp
+++ b/packages/redwinggw/src/instance.hpp
@@ -9,16 +9,16 @@
 #include <memory>
 #include <string>
 
-/// One entry instance: all services of the process, wired by name.
+/// An instance that speaks this project's own protocols.
 namespace redwinggw {
 
-/// What the settings point to.
+/// Content of the secret files that the settings name.
 struct secrets {
   std::string FleetKey;
   std::string OperatorKey;
 };
 
-/// Used from the thread that runs the context.
+/// All services of the process. Used from the thread that runs the context.
 class instance {
 public:
   instance(boost::asio::io_context &Context, settings Settings,
--- a/packages/redwinggw/src/instance_state.hpp
+++ b/packages/redwinggw/src/instance_state.hpp
@@ -19,7 +19,8 @@
 
 #include <memory>
 
-/// All services of one process, in the order in which they are made.
+/// State and services of one instance that speaks this project's own protocols,
+/// in the order of their construction.
 namespace redwinggw {
 
 struct instance_state : std::enable_shared_from_this<instance_state> {
@@ -42,29 +43,33 @@
   kernel::registry Registry;
   kernel::life_cycle Life;
   control::currency Freshness = control::currency::Isolated;
-  /// Instances among which the endpoints' connections are divided now.
+  /// Number of instances among which the endpoints' connections are divided.
   std::size_t SharedAmong = 0;
 };
 
-/// Makes each service known under its name, with what it needs.
+/// Adds each service to the registry under its name, with the services that it
+/// needs.
 base::result<void> registerServices(instance_state &State);
 
-/// Lets the services call each other.
+/// Sets the callbacks by which the services call each other.
 void connectServices(instance_state &State);
 
-/// Adds the operators' pages: status, metrics, time line, drain by \p Stop.
+/// Adds the operators' pages: status, metrics, time line, and drain, which
+/// calls \p Stop.
 void addOperatorPages(instance_state &State, std::function<void()> Stop);
 
 /// Copies the counters of the services into the metrics.
 void collectMetrics(instance_state &State);
 
-/// Whether the configuration may be served, as of now.
+/// How fresh the configuration is now, which decides whether requests may be
+/// served by it; logs a change.
 control::currency judgeFreshness(instance_state &State);
 
-/// Puts the groups suspected here into the next heartbeats.
+/// Puts the groups whose primary this instance suspects into the next
+/// heartbeats.
 void announceSuspicions(instance_state &State);
 
-/// Takes in a configuration that came into force.
+/// Hands a configuration that came into force to the services.
 void applyConfiguration(instance_state &State,
                         const control::configuration &Configuration);
 
--- a/packages/redwinggw/src/main.cpp
+++ b/packages/redwinggw/src/main.cpp
@@ -15,8 +15,8 @@
 #include <iostream>
 #include <sstream>
 
-/// The entry instance. Exit codes: 0 stopped gracefully or the check passed,
-/// 1 the settings are not valid, 2 wrong options, 3 an unexpected fault.
+/// The server program. Exit codes: 0 stopped gracefully or the check passed, 1
+/// invalid settings, 2 wrong options, 3 unexpected error.
 namespace redwinggw {
 namespace {
 
@@ -39,7 +39,7 @@
       "config,c", options::value<std::string>(),
       "settings file (INI)")("check", "validate the settings and exit")(
       "set,s", options::value<std::vector<std::string>>()->composing(),
-      "section.key=value, goes before the file; may be repeated");
+      "section.key=value, overrides the file; may be repeated");
   return Description;
 }
 
@@ -112,7 +112,7 @@
   return ExitOk;
 }
 
-/// Reads the settings again; faulty ones change nothing.
+/// Reads the settings again; invalid ones are logged and change nothing.
 void reload(platform_instance &Instance, const command_line &Line) {
   if (auto Settings = readSettings(Line))
     Instance.reload(std::move(*Settings));
@@ -131,7 +131,8 @@
   });
 }
 
-/// When the settings file was written last, as far as that can be told.
+/// When the settings file was last written; a default value when that is
+/// unknown.
 std::filesystem::file_time_type settingsTime(const command_line &Line) {
   std::error_code Ignored;
   return std::filesystem::last_write_time(Line.Config, Ignored);
@@ -214,7 +215,7 @@
     std::cerr << Error.what() << "; see redwinggw --help\n";
     return ExitUsage;
   } catch (const std::exception &Error) {
-    std::cerr << "unexpected fault: " << Error.what() << "\n";
+    std::cerr << "unexpected error: " << Error.what() << "\n";
     return ExitFault;
   }
 }
--- a/packages/redwinggw/src/platform_configuration.cpp
+++ b/packages/redwinggw/src/platform_configuration.cpp
@@ -8,7 +8,7 @@
 #include <iterator>
 
 /// The operators' configuration: read from the platform's store, or from
-/// another instance where the store does not give the newest one.
+/// another instance when the store does not return the newest one.
 namespace redwinggw {
 namespace {
 
@@ -16,15 +16,15 @@
 using base::log_part;
 using base::milliseconds;
 
-/// The configuration is read so often by the one that reads for all. A change
-/// must be in force within three seconds: this pause, a call that hangs, its
-/// repetition and a heartbeat fit in. The store's feed of changes would tell
-/// sooner, but it goes silent when the store drops its history, and then hands
-/// on a version whose changes it never told.
+/// How often the store reader reads the configuration. A change must be in
+/// force within three seconds, which hold this interval, a request that hangs,
+/// its repetition and a heartbeat. The store's change feed would be faster, but
+/// it stops without an error when the store drops its history, and afterwards
+/// reports a version whose changes it never delivered.
 constexpr milliseconds ConfigurationReadInterval{800};
 constexpr milliseconds ConfigurationIdleTimeout{700};
 
-/// For how long a newer configuration than the one in force has been known of.
+/// How long this instance has known of a newer configuration than its own.
 std::string millisecondsBehind(const platform_instance_state &State) {
   const base::instant Since = State.BehindSince.value_or(base::now());
   return std::to_string(
@@ -57,8 +57,8 @@
                   {"reason", describe(Reason)}});
 }
 
-/// Puts a configuration in force unless it is older than the one that is.
-/// \p From is the store or an instance, for the log.
+/// Puts a configuration in force unless it is older than the present one. \p
+/// From names its source for the log: "store" or an instance.
 void acceptConfiguration(platform_instance_state &State,
                          session::stored_configuration Given,
                          std::string_view From) {
@@ -105,8 +105,8 @@
   co_return true;
 }
 
-/// An instance that has a newer configuration, chosen by chance among those of
-/// the own availability zone where there are any; null when there is none.
+/// A random instance that has a newer configuration, from this availability
+/// zone if possible; null when there is none.
 const control::member *configurationHolder(platform_instance_state &State) {
   if (!State.Peers)
     return nullptr;
@@ -125,8 +125,8 @@
   return Chosen;
 }
 
-/// Asks another instance for what the store did not give: it may turn this
-/// instance away, or answer from the past.
+/// Fetches the configuration from another instance: the store may reject this
+/// instance's requests or return stale data.
 base::task<void> fetchFromPeer(platform_instance_state &State) {
   const control::member *Holder = configurationHolder(State);
   if (Holder == nullptr || !State.ForwardingClient)
@@ -137,7 +137,7 @@
   acceptConfiguration(State, std::move(Told), From.Name);
 }
 
-/// Whether another instance has a newer configuration; notes since when.
+/// Whether another instance has a newer configuration; records since when.
 bool isBehind(platform_instance_state &State) {
   const bool Behind = newestConfigurationRow(State) > State.Stored.Row;
   if (!Behind)
@@ -151,7 +151,7 @@
 
 base::task<void> followConfiguration(platform_instance_ptr State) {
   while (!State->Stopped) {
-    // Where another instance reads, its heartbeats tell of changes.
+    // When another instance reads the store, its heartbeats report changes.
     if (State->Routes && hasStoreReader(*State) && !isBehind(*State)) {
       co_await pauseWithJitter(*State, UpdateCheckInterval);
       continue;
--- a/packages/redwinggw/src/platform_endpoint_owners.cpp
+++ b/packages/redwinggw/src/platform_endpoint_owners.cpp
@@ -5,19 +5,19 @@
 
 #include <algorithm>
 
-/// Which instance holds the connections to an endpoint, and how many each may
-/// hold.
+/// Which instance owns the connections to each endpoint, and how many each
+/// instance may hold.
 namespace redwinggw {
 namespace {
 
 using base::instant;
 
-/// Part of an endpoint's connections that its owner may open at any time. The
-/// rest is for instances that cannot use the owner, and for probes.
+/// Percentage of an endpoint's connections that its owner may open at any time.
+/// The rest is for instances that cannot reach the owner, and for probes.
 constexpr std::size_t OwnedPercent = 85;
-/// Part that it keeps open without need. An endpoint counts the connections of
-/// an instance without power for three more seconds: with less than half of
-/// them kept, the next owner finds as many as it needs.
+/// Percentage that the owner keeps open when idle. An endpoint counts the
+/// connections of an instance that lost power for three more seconds: with less
+/// than half of them open, the next owner can still open as many as it needs.
 constexpr std::size_t KeptPercent = 45;
 
 std::vector<session::owner_candidate>
@@ -49,7 +49,7 @@
     Limits.MostConnections = std::max(Limits.Connections, Accepted);
     return Limits;
   }
-  // Few: only what the owner cannot serve goes over them.
+  // Few, since only statements that the owner cannot run use them.
   Limits.Connections = 1;
   Limits.MostConnections = std::max<std::size_t>(1, 2 * Accepted / Instances);
   return Limits;
@@ -68,8 +68,9 @@
   Known = Name;
 }
 
-/// Each instance works this out alone from who it hears; anew only after a
-/// change, since it takes a draw for each endpoint and instance.
+/// Each instance computes the owners on its own, from the instances that it is
+/// in contact with. Recomputed only after a change, since it takes a hash for
+/// each endpoint and instance.
 void assignOwners(platform_instance_state &State) {
   const instant Now = base::now();
   auto Candidates = ownerCandidates(State, Now);
@@ -99,7 +100,8 @@
       std::make_unique<session::relay_server>(Executor, State.Core, Secret);
   State.ForwardingServer->handOnConfiguration(
       [&State] { return State.Stored; });
-  // The others go to the endpoints themselves when it does not listen.
+  // When listening fails, the other instances connect to the endpoints
+  // themselves.
   if (const auto Listening =
           State.ForwardingServer->listen(State.Settings.Peers);
       !Listening)
--- a/packages/redwinggw/src/platform_endpoints.cpp
+++ b/packages/redwinggw/src/platform_endpoints.cpp
@@ -4,8 +4,8 @@
 
 #include "redwinggw/base/log.hpp"
 
-/// The list of endpoints: read from the platform's store by one instance, and
-/// sent to the others.
+/// The endpoint list: the store reader reads it from the platform's store and
+/// sends it to the other instances.
 namespace redwinggw {
 namespace {
 
@@ -13,14 +13,15 @@
 using base::log_part;
 using base::milliseconds;
 
-/// One reading a second of each table: a leaving endpoint must be out of use
+/// Each table is read once a second: a leaving endpoint must be out of use
 /// within seven seconds, and a new one should be in use at about the time at
 /// which the old one leaves.
 constexpr milliseconds EndpointReadInterval{1000};
-/// A relayed list counts for so long; then this instance reads for itself.
+/// How long a list from the store reader is used before this instance reads the
+/// store itself.
 constexpr milliseconds RelayedListValidFor{1700};
-/// An unchanged list is sent in full so often: an instance that lost the
-/// datagram with a change has read the store itself long before.
+/// How often an unchanged list is sent in full. An instance that lost the
+/// datagram with a change reads the store itself long before that.
 constexpr milliseconds FullListInterval{5000};
 
 std::vector<session::endpoint_entry>
@@ -37,9 +38,9 @@
 }
 
 /// Sends the list to the instances that do not read it themselves: in full
-/// after a change, and now and then for those that missed it; otherwise that it
-/// is unchanged. Whoever has another list ignores that, and reads for itself
-/// when nothing else comes.
+/// after a change and every FullListInterval, otherwise a digest that tells
+/// that it is unchanged. An instance with another list ignores the digest, and
+/// reads the store itself when nothing else arrives.
 void shareEndpointList(platform_instance_state &State,
                        const platform::table_rows &Rows) {
   const base::instant Now = base::now();
@@ -71,10 +72,10 @@
   State.EndpointListAt = ReadAt;
   for (const base::endpoint_name &Name : Changes.Started)
     base::log(log_level::Info, log_part::Endpoints,
-              "Endpoint " + Name + " is listed.");
+              "Endpoint " + Name + " was added to the list.");
   for (const base::endpoint_name &Name : Changes.Gone)
     base::log(log_level::Info, log_part::Endpoints,
-              "Endpoint " + Name + " is gone.");
+              "Endpoint " + Name + " was removed from the list.");
   divideConnections(State);
 }
 
@@ -95,7 +96,7 @@
 
 void acceptOwnRead(platform_instance_state &State,
                    const platform::table_rows &Rows, base::instant Sent) {
-  // A reading that took long must not undo a list that was relayed meanwhile.
+  // A slow read must not undo a newer list that arrived meanwhile.
   if (State.EndpointListAt.value_or(LongAgo) > Sent)
     return;
   acceptEndpointList(State, entriesOf(Rows), Sent);
--- a/packages/redwinggw/src/platform_fleet.cpp
+++ b/packages/redwinggw/src/platform_fleet.cpp
@@ -9,7 +9,8 @@
 
 #include <algorithm>
 
-/// The other instances and their agreements, as the platform's store has them.
+/// Registration of this instance, and the rows of the fleet in the platform's
+/// store: instances and claims of primaries.
 namespace redwinggw {
 namespace {
 
@@ -32,7 +33,7 @@
                                       {"capacity", State.Settings.Capacity}});
 }
 
-/// Nothing for a row that is not an instance's.
+/// Nothing when the row is not an instance's or cannot be parsed.
 std::optional<storage::listed_instance>
 instanceOf(const platform::table_row &Row) {
   if (!Row.Key.starts_with(InstancePrefix))
@@ -62,8 +63,8 @@
   return Found->Value;
 }
 
-/// Makes the fleet's secret. Nothing when another instance was first or the
-/// store did not answer: the row tells whose secret it is.
+/// Creates the fleet's secret. Nothing when another instance was first, whose
+/// secret is in the row then, or when the store did not answer.
 base::task<std::optional<std::string>>
 makeSecret(platform_instance_state &State) {
   std::string Secret = base::randomId();
@@ -89,8 +90,8 @@
       State.Settings.Name, State.Settings.Zone,
       static_cast<std::uint64_t>(base::wallMilliseconds()),
       State.Settings.Capacity};
-  // An instance that has heard nothing for so long must not use a primary any
-  // more; see handover_limits::ReadingCounts.
+  // Without any contact for this long an instance must not use a primary any
+  // more; see handover_limits::ReadingValidFor.
   control::currency_limits Freshness;
   Freshness.Bound = milliseconds(1000);
   control::membership_limits Members;
@@ -105,8 +106,7 @@
     base::log(log_level::Error, log_part::Peers, describe(Started.error()));
 }
 
-/// Takes in the system's own rows. True when this instance's row is among
-/// them.
+/// Applies the rows of the fleet. True when this instance's row is among them.
 bool acceptFleetRows(platform_instance_state &State,
                      const platform::table_rows &Rows) {
   std::vector<storage::listed_instance> Listed;
@@ -126,9 +126,9 @@
                            &storage::listed_instance::Name) != Listed.end();
 }
 
-/// How long a reading that news asks for waits after the last one: all
-/// instances hear of a new one at about the same time, and where many start at
-/// once each would read for each.
+/// Least interval between two reads when a heartbeat reported a change. All
+/// instances learn of a new one at about the same time; without the interval,
+/// when many start together, each would read once for each other one.
 milliseconds wantedReadInterval(const platform_instance_state &State) {
   constexpr milliseconds ForEachMember{5};
   constexpr milliseconds Longest{1500};
@@ -145,11 +145,11 @@
   });
 }
 
-/// How often the system's own rows are read: rarely while a majority of the
-/// others is heard, whose heartbeats tell all that is in the rows. Without
-/// them the rows are the only way to learn of a promotion.
+/// How often the rows of the fleet are read: rarely while in contact with a
+/// majority, whose heartbeats report all that is in the rows. Without a
+/// majority the rows are the only way to learn of a promotion.
 milliseconds fleetReadInterval(const platform_instance_state &State) {
-  // Reads of all instances together stay at five a second.
+  // Limits the reads of all instances together to about five a second.
   constexpr std::size_t FewInstances = 16;
   const std::size_t Members = State.Peers->view().Members.size();
   const auto Share = static_cast<std::int64_t>(1 + Members / FewInstances);
@@ -157,17 +157,18 @@
   constexpr milliseconds Unheard{400};
   if (State.Peers->hearsMajority(base::now()))
     return Heard;
-  // A relay tells of the readings of others.
+  // A relay reports what other instances have read.
   const bool Relayed =
       usesRelays(State.Peers->view()) && hasDirectContact(State);
   return Relayed ? std::max(Unheard, wantedReadInterval(State)) : Unheard;
 }
 
-/// Removes rows of instances that were not heard for long: nothing in the
-/// store expires, and they would count for majorities and shares for good.
+/// Removes the rows of instances without heartbeats for GoneAfter: rows do not
+/// expire in the store, and dead instances would count for majorities and
+/// shares forever.
 base::task<void> removeDeadInstances(platform_instance_state &State) {
   constexpr milliseconds GoneAfter{8000};
-  // Two entries of a call for each; the store takes a hundred.
+  // Each instance needs two entries of a request, which may have a hundred.
   constexpr std::size_t MostAtOnce = 40;
   if (!isStoreReader(State) || !State.Peers->hearsMajority(base::now()))
     co_return;
@@ -185,8 +186,8 @@
   if (Request.Deletes.empty())
     co_return;
   base::log(log_level::Info, log_part::Peers,
-            "Removing " + std::to_string(Request.Deletes.size()) +
-                " instances that are gone.");
+            "Removing the rows of " + std::to_string(Request.Deletes.size()) +
+                " dead instances.");
   const auto Removed = co_await storage::commit(State.Store, Request);
   if (Removed)
     State.FleetReadWanted = true;
@@ -205,7 +206,7 @@
 }
 
 base::task<void> removeInstance(platform_instance_state &State) {
-  // From here on a reading of the fleet must not register it again.
+  // Keeps a read of the rows from registering the instance again.
   State.Stopped = true;
   storage::commit_request Request;
   Request.Deletes.push_back(instanceKey(State.Settings.Name));
@@ -213,7 +214,7 @@
       co_await storage::commit(State.Store, std::move(Request));
   if (!Removed)
     base::log(log_level::Warning, log_part::Peers,
-              "The own row stays for others to remove: " +
+              "This instance's row was not removed; others will remove it: " +
                   describe(Removed.error()));
 }
 
@@ -231,7 +232,7 @@
   co_return std::move(*Rows);
 }
 
-/// Takes in rows that were asked for at \p Sent. True when this instance's row
+/// Applies rows that were requested at \p Sent. True when this instance's row
 /// is among them.
 bool noteFleetRows(platform_instance_state &State,
                    const platform::table_rows &Rows, base::instant Sent) {
@@ -241,9 +242,9 @@
   return Listed;
 }
 
-/// Whether this instance's row is as it has to be. A process that starts again
-/// finds it so and writes nothing: the store takes writes one after the other,
-/// and where all start at once they would wait for each other.
+/// Whether this instance's row is up to date. A restarted process finds it so
+/// and writes nothing: the store serializes writes, and instances that start
+/// together would wait for each other.
 bool isRegistered(const platform_instance_state &State,
                   const platform::table_rows &Rows) {
   return valueAt(Rows, instanceKey(State.Settings.Name)) == instanceText(State);
@@ -269,8 +270,8 @@
   co_return true;
 }
 
-/// Waits until the rows are due to be read again. News of a change or of a new
-/// instance makes them due sooner.
+/// Waits until the rows are due to be read again, sooner when a heartbeat
+/// reported a change or an unlisted instance.
 base::task<void> pauseBetweenReads(platform_instance_state &State,
                                    bool Answered) {
   const base::instant Since = base::now();
--- a/packages/redwinggw/src/platform_handover.cpp
+++ b/packages/redwinggw/src/platform_handover.cpp
@@ -9,7 +9,8 @@
 
 #include <algorithm>
 
-/// Moves primaries: docs/PLATFORM-ADAPTER.md gives the steps and their reasons.
+/// Replaces primaries that failed or leave; docs/PLATFORM-ADAPTER.md gives the
+/// steps and their reasons.
 namespace redwinggw {
 namespace {
 
@@ -22,7 +23,7 @@
 constexpr milliseconds PrimaryCheckInterval{100};
 constexpr milliseconds StatusTimeout{400};
 constexpr milliseconds PromotionTimeout{1500};
-/// How long a move goes on before it is begun again from the rows.
+/// A move that takes longer is abandoned and begun again from the rows.
 constexpr milliseconds MoveTimeout{7000};
 constexpr milliseconds StepPause{20};
 
@@ -66,7 +67,7 @@
   return View;
 }
 
-/// Rows that a claim is decided by.
+/// The rows by whose versions a claim is decided.
 struct claim_rows {
   storage::row Service;
   storage::row Orderer;
@@ -80,7 +81,7 @@
   return {std::move(Key), Found->Version, Found->Value};
 }
 
-/// The orderer's row as text: its name, its incarnation and the token.
+/// The text of the orderer's row: instance name, incarnation and fencing token.
 std::string ordererText(const platform_instance_state &State,
                         std::uint64_t Token) {
   return State.Settings.Name + " " +
@@ -88,8 +89,9 @@
          std::to_string(Token);
 }
 
-/// The token under which this instance may order: the present one if it is
-/// the orderer already, the next one otherwise.
+/// The fencing token with which this instance may order a promotion: the
+/// present one if it is the orderer already, the next one otherwise. \p Text is
+/// the orderer's row.
 std::uint64_t tokenFor(const platform_instance_state &State,
                        const std::string &Text) {
   const std::size_t Space = Text.rfind(' ');
@@ -102,12 +104,12 @@
 /// A move that this instance carries out.
 struct claimed_move {
   primary_claim Claim;
-  /// An earlier claim had begun it and may have ordered a promotion.
+  /// Whether an earlier claim began the move and may have ordered a promotion.
   bool Resumed = false;
 };
 
-/// Whether the service's row says that a move was begun. A row that cannot be
-/// read does not tell that none was.
+/// Whether a move of the service may have been begun. A row that cannot be
+/// parsed does not rule that out.
 bool isUnfinished(const storage::row &Row) {
   if (Row.Version == 0)
     return false;
@@ -125,7 +127,7 @@
     co_return std::nullopt;
   const claim_rows Found{rowAt(*Rows, session::claimKey(Service)),
                          rowAt(*Rows, std::string(OrdererKey))};
-  // Somebody else was first, or has finished meanwhile.
+  // Another instance has replaced the primary meanwhile.
   const auto *Known = findClaim(State.Claims, Service);
   if (Known != nullptr && !Known->Claim.Moving &&
       Known->Claim.Primary != Primary)
@@ -151,7 +153,7 @@
   co_return Move;
 }
 
-/// Notes who has acknowledged \p Claim.
+/// Records which instances have acknowledged \p Claim.
 void observeAcknowledgements(const platform_instance_state &State,
                              const primary_claim &Claim,
                              session::move_acknowledgements &Acknowledged) {
@@ -166,16 +168,17 @@
     Acknowledged.HalfSince = base::now();
 }
 
-/// Whether no later claim of the service is known: another orderer may have
-/// taken over from this one, whose order would come after that one's.
+/// Whether \p Claim is still the newest one of its service. Otherwise another
+/// orderer has taken over, and an order of this instance could take effect
+/// after that one's.
 bool isCurrent(const platform_instance_state &State,
                const primary_claim &Claim) {
   const auto *Known = findClaim(State.Claims, Claim.Service);
   return Known != nullptr && Known->Claim.Epoch == Claim.Epoch;
 }
 
-/// Waits until nobody uses the old primary any more. False when it took too
-/// long.
+/// Waits until no instance uses the old primary any more. False at \p Deadline
+/// or when a later claim is known.
 base::task<bool> awaitAcknowledgements(platform_instance_state &State,
                                        const primary_claim &Claim,
                                        instant Deadline) {
@@ -191,7 +194,7 @@
   co_return false;
 }
 
-/// The states of the endpoints that could take over.
+/// The endpoints that could take over and answer, with what they have received.
 base::task<std::vector<session::move_candidate>>
 askCandidates(platform_instance_state &State, const primary_claim &Claim) {
   std::vector<session::endpoint_entry> Entries;
@@ -209,8 +212,8 @@
   co_return Candidates;
 }
 
-/// What the old primary has, if it still answers. All instances have given it
-/// up, so it gets nothing more that is acknowledged.
+/// The old primary's status, if it still answers. No instance uses it any more,
+/// so it commits nothing more that is acknowledged.
 base::task<std::optional<session::endpoint_status>>
 askOldPrimary(platform_instance_state &State, const primary_claim &Claim) {
   const auto *Entry = findEndpoint(State.Endpoints.Directory, Claim.Primary);
@@ -221,8 +224,8 @@
   co_return Status.Status;
 }
 
-/// Chooses who takes over, waiting for a replica to receive what the old
-/// primary still tells. Empty when there is nobody.
+/// Chooses the new primary, waiting for a replica to receive all that the old
+/// primary still reports. Empty when there is none.
 base::task<base::endpoint_name> findTarget(platform_instance_state &State,
                                            const primary_claim &Claim) {
   const auto Old = co_await askOldPrimary(State, Claim);
@@ -243,7 +246,8 @@
   }
 }
 
-/// Orders the promotion until it is accepted or refused.
+/// Orders the promotion, repeatedly until the platform accepts or refuses it.
+/// False when it was refused, at \p Deadline or when a later claim is known.
 base::task<bool> promote(platform_instance_state &State,
                          const primary_claim &Claim, base::endpoint_name Target,
                          instant Deadline) {
@@ -263,7 +267,8 @@
   co_return false;
 }
 
-/// Waits until \p Target leads. False when it does not come to that.
+/// Waits until \p Target reports that it is the primary. False when it is not
+/// listed any more, at \p Deadline or when a later claim is known.
 base::task<bool> awaitPromotion(platform_instance_state &State,
                                 const primary_claim &Claim,
                                 base::endpoint_name Target, instant Deadline) {
@@ -280,8 +285,8 @@
   co_return false;
 }
 
-/// Tells the instances who the primary is, then the store: it may be down, and
-/// the instances need not wait for it.
+/// Announces the new primary to the instances, then writes it to the store. The
+/// store may be down, and the instances need not wait for it.
 base::task<void> finishMove(platform_instance_state &State, primary_claim Claim,
                             base::endpoint_name Target) {
   const std::uint64_t Epoch = Claim.Epoch;
@@ -305,7 +310,8 @@
       co_return;
     }
     if (kindOf(Versions.error()) == base::errc::Conflict) {
-      // Another orderer has begun anew, or our own write did take effect.
+      // Another orderer has claimed the service, or an earlier try of this
+      // write took effect.
       State.FleetReadWanted = true;
       co_return;
     }
@@ -313,26 +319,28 @@
   }
 }
 
-/// Carries a claimed move out.
+/// Executes a claimed move. True when the service has a primary again.
 base::task<bool> executeMove(platform_instance_state &State,
                              const claimed_move &Move) {
   const primary_claim &Claim = Move.Claim;
   const instant Deadline = base::now() + MoveTimeout;
   const bool Fenced = co_await awaitAcknowledgements(State, Claim, Deadline);
   if (!Fenced) {
-    logMove(Claim.Service, "the move waits for half of the instances.");
+    logMove(Claim.Service,
+            "the move waits for acknowledgements of half of the instances.");
     co_return false;
   }
   const base::endpoint_name Target = co_await findTarget(State, Claim);
   if (Target.empty()) {
-    // Nobody else can take over: the old primary goes on if it still leads.
+    // No other endpoint can take over: the old primary is kept if it still is
+    // the primary.
     const auto Old = co_await askOldPrimary(State, Claim);
     if (!mayGoOn(Old, Move.Resumed)) {
       logMove(Claim.Service, "no endpoint can take over.");
       co_return false;
     }
     logMove(Claim.Service,
-            "no endpoint can take over; the old primary goes on.");
+            "no endpoint can take over; the old primary is kept.");
     co_await finishMove(State, Claim, Claim.Primary);
     co_return true;
   }
@@ -342,7 +350,7 @@
   if (Promoted)
     Leads = co_await awaitPromotion(State, Claim, Target, Deadline);
   if (!Leads) {
-    logMove(Claim.Service, Target + " did not take the lead.");
+    logMove(Claim.Service, Target + " did not become primary.");
     co_return false;
   }
   co_await finishMove(State, Claim, Target);
@@ -364,7 +372,8 @@
     logMove(Service, std::string(Done ? "moved" : "not moved") + " after " +
                          std::to_string(Took.count()) + " ms.");
   }
-  // A failed step is begun again from the rows, by whoever is the reader then.
+  // After a failed step the store reader of that time begins the move again
+  // from the rows.
   co_await pauseWithJitter(*State, PrimaryCheckInterval);
   State->Moving.erase(Service);
 }
--- a/packages/redwinggw/src/platform_heartbeats.cpp
+++ b/packages/redwinggw/src/platform_heartbeats.cpp
@@ -8,7 +8,7 @@
 #include <map>
 #include <utility>
 
-/// What instances tell each other in their heartbeats.
+/// Content of the heartbeats that instances send each other.
 namespace redwinggw {
 namespace {
 
@@ -24,7 +24,7 @@
   return isUp(Member) && readsStore(State.Peers->view(), Member, Now);
 }
 
-/// The agreements on primaries, and this instance's suspicions.
+/// The known claims of primaries, and this instance's suspicions.
 std::vector<wire::group_report>
 groupReports(const platform_instance_state &State) {
   auto Reports = session::reportsOf(State.Claims);
@@ -45,11 +45,11 @@
   return Reports;
 }
 
-/// The newest sample of each service's log, whoever took it: a relay passes on
-/// those of the others.
+/// The newest sample of each service's log position, whichever instance took
+/// it: a relay passes on the samples of others.
 std::vector<wire::position_report>
 positionReports(const platform_instance_state &State) {
-  // Older than any bound in use: of no value to anybody.
+  // Older samples exceed any staleness bound in use.
   constexpr milliseconds Oldest{3000};
   std::vector<wire::position_report> Reports;
   const instant Now = base::now();
@@ -66,7 +66,8 @@
   return Reports;
 }
 
-/// How many of the instances that report here cannot work with each primary.
+/// For each primary, how many of the instances that report to this one suspect
+/// it.
 std::vector<wire::suspicion_count>
 reportedSuspicions(const platform_instance_state &State) {
   std::map<std::pair<std::string, std::string>, std::uint16_t> Counts;
@@ -82,10 +83,11 @@
   return Suspicions;
 }
 
-/// While an order to promote is on its way this instance takes in no later
-/// claim of the service, and must not tell that those who know of it are up:
-/// whoever counted them would not know what they know. Afterwards the claim is
-/// told again with the next heartbeats.
+/// Whether this instance may report other instances as alive. While a promotion
+/// order is unanswered it accepts no later claim of the service, and so must
+/// not report instances that know such a claim: an instance that counted them
+/// as alive would not learn the claim. Afterwards the claim arrives again with
+/// the next heartbeats.
 bool mayReportOthers(const platform_instance_state &State) {
   constexpr milliseconds ReannounceTime{450};
   return State.PromotionsInFlight.empty() &&
@@ -110,7 +112,8 @@
   const instant Now = base::now();
   Report.Demands = announceDemand(State.Shares, Now);
   Report.Positions = positionReports(State);
-  // The parts follow at the pace of the heartbeats that carry the demands.
+  // Shares are recomputed with each heartbeat, since heartbeats carry the
+  // demands.
   const bool InContact = isInContactWithFleet(State);
   divideRates(State.Shares, State.Peers->view(), InContact, Now);
   gatherRates(State.Shares, State.Peers->view(), InContact, Now);
@@ -121,8 +124,8 @@
   completeDigests(State);
 }
 
-/// An agreement that another instance knows of. The token is in the store only:
-/// whoever orders next reads it there.
+/// Accepts a claim that another instance reports. Reports do not carry its
+/// fencing token, which the next orderer reads from the store.
 void acceptReportedClaim(platform_instance_state &State,
                          const wire::group_report &Report) {
   if (Report.Term == 0)
@@ -144,8 +147,8 @@
   for (const wire::position_report &Report : Member.Report.Positions)
     for (const auto &[Service, Limits] : State.Routes->Services)
       if (wire::hashOf(Service) == Report.Group)
-        // ReportAt is the earliest time at which the report can have been
-        // made, so the sample never looks younger than it is.
+        // ReportAt is the earliest time at which the report can have been made,
+        // so the sample never looks younger than it is.
         addSample(State.Endpoints.Samples[Service],
                   {*Member.ReportAt - milliseconds(Report.Age),
                    {Report.Term, Report.Position}},
@@ -219,8 +222,9 @@
 
 namespace {
 
-/// Suspicions of \p Primary that the relay of an availability zone counted.
-/// Both relays of a zone count the same ones.
+/// Suspicions of \p Primary as counted by the relays of the other availability
+/// zones. Both relays of a zone count the same instances, so the higher count
+/// of a zone is used.
 std::size_t countRelayedSuspects(const platform_instance_state &State,
                                  std::string_view Service,
                                  std::string_view Primary) {
@@ -244,7 +248,7 @@
 std::size_t countSuspects(const platform_instance_state &State,
                           std::string_view Service) {
   std::size_t Count = suspects(State, Service) ? 1 : 0;
-  // Reports may still speak of a primary that was replaced meanwhile.
+  // Reports may still name a primary that was replaced meanwhile.
   const base::endpoint_name Primary = primaryOf(State, Service);
   if (!State.Peers)
     return Count;
--- a/packages/redwinggw/src/platform_instance.cpp
+++ b/packages/redwinggw/src/platform_instance.cpp
@@ -18,8 +18,8 @@
 using base::milliseconds;
 
 constexpr milliseconds HousekeepingInterval{200};
-/// Longer than the pause in which a lost majority is made up for by readings
-/// of the store.
+/// Longer than it takes until reads of the store replace the contact with a
+/// lost majority.
 constexpr milliseconds CutOffAfter{800};
 
 void noteLifeState(kernel::life_state State) {
@@ -78,21 +78,22 @@
   co_return Response;
 }
 
-/// \name Steps of a graceful stop, from its beginning
-/// The platform kills a process six seconds after its first signal.
+/// \name Steps of a graceful stop, as times since the signal
+/// The platform kills a process six seconds after the first signal.
 /// @{
-/// The balancer has asked twice by then and sends nobody any more. Whoever was
-/// sent before is still served: a session closed sooner would come back here.
+/// By then the balancer has checked readiness twice and sends no callers any
+/// more. Sessions are not closed sooner, since their callers would be sent back
+/// here.
 constexpr milliseconds BalancerNoticeTime{2100};
-/// Open transactions may end until then: half of the time.
+/// Open transactions are rolled back after this time, half of the six seconds.
 constexpr milliseconds TransactionDeadline{3100};
-/// Statements still at work get their answers until then.
+/// Running statements are answered until this time.
 constexpr milliseconds AnswerDeadline{5200};
 constexpr milliseconds DrainStepInterval{100};
 /// @}
 
-/// Closes idle sessions a few at a time, so that they do not all come back to
-/// the other instances at once.
+/// Closes idle sessions a few at a time, so that their callers do not all
+/// connect to the other instances at once.
 void closeSomeIdle(platform_instance_state &State, base::microseconds Elapsed) {
   constexpr std::size_t Rounds = 6;
   const bool Late = Elapsed >= TransactionDeadline;
@@ -115,7 +116,8 @@
     co_await pauseWithJitter(*State, DrainStepInterval);
   State->Callers.stopAccepting();
   State->Core.Draining = true;
-  // The callers go elsewhere now, and their parts of the rates with them.
+  // The callers connect to other instances from now on, which need this
+  // instance's shares of the rates.
   yieldRates(State->Shares);
   const auto IsBusy = [&State] {
     const bool Forwarding =
@@ -202,9 +204,8 @@
 
 namespace {
 
-/// An instance that may not use primaries can serve little: callers do better
-/// elsewhere. Those with sessions here come back through the balancer, which
-/// sends no one to an instance that is not ready.
+/// Closes idle sessions while the instance may not use primaries: it can serve
+/// little then, and the balancer sends the callers to instances that are ready.
 void noteFleetContact(platform_instance_state &State) {
   if (isInContactWithFleet(State)) {
     State.OutOfContactSince.reset();
@@ -217,7 +218,8 @@
     State.Callers.closeIdle(ClosedAtOnce);
 }
 
-/// Callers are taken once there is a configuration to serve them by.
+/// Opens the callers' address once the configuration, the endpoint list and the
+/// rows of the fleet have been read.
 void listenForCallers(platform_instance_state &State) {
   if (State.Listening || !State.Routes || !State.EndpointListAt ||
       !State.FleetReadAt)
@@ -276,7 +278,7 @@
 }
 
 void platform_instance::reload(settings Settings) {
-  // Addresses and names are in use; they change with the next start.
+  // Addresses and names are in use and change with the next start only.
   base::setLogLevel(Settings.LogLevel);
   State->Settings.LogLevel = Settings.LogLevel;
   base::log(log_level::Info, log_part::Main, "The settings were read again.");
--- a/packages/redwinggw/src/platform_instance.hpp
+++ b/packages/redwinggw/src/platform_instance.hpp
@@ -6,7 +6,7 @@
 
 #include <memory>
 
-/// An entry instance on the users' platform.
+/// An instance on the users' platform, whose protocols platform/ translates.
 namespace redwinggw {
 
 struct platform_instance_state;
@@ -26,7 +26,7 @@
   /// Begins the graceful shutdown; the context's run returns when it is over.
   void stop();
 
-  /// Takes in settings that were changed while running.
+  /// Applies changed settings while running: the log level only.
   void reload(settings Settings);
 
 private:
--- a/packages/redwinggw/src/platform_instance_state.hpp
+++ b/packages/redwinggw/src/platform_instance_state.hpp
@@ -27,7 +27,8 @@
 #include <set>
 #include <string>
 
-/// All services of one native process.
+/// State and services of one instance that runs on the users' platform, and the
+/// functions that work on them.
 namespace redwinggw {
 
 struct platform_instance_state
@@ -36,197 +37,222 @@
 
   boost::asio::io_context &Context;
   settings Settings;
-  /// The system's own rows.
+  /// Writes and reads the rows that the instances keep for themselves.
   storage::store Store;
-  /// Watches and reads of what others write.
+  /// Reads whole tables of the platform's store.
   platform::store_client StoreReader;
   session::route_table_ptr Routes;
-  /// What Routes was made of, for instances that the store turns away.
+  /// The text from which Routes was parsed, for instances that cannot read the
+  /// store.
   session::stored_configuration Stored;
-  /// Since when another instance is known to have a newer configuration.
+  /// When this instance learned that another one has a newer configuration.
   std::optional<base::instant> BehindSince;
   session::endpoint_set Endpoints;
   session::session_core Core;
   platform::caller_listener Callers;
   http::server Readiness;
   http::server Metrics;
-  /// Orders to promote endpoints.
+  /// Requests promotions of endpoints.
   platform::store_client Promotions;
-  /// Exists once the fleet's secret is known.
+  /// Null until the fleet's secret is known.
   std::unique_ptr<control::peer_service> Peers;
-  /// Statements for other instances, and by them; exist once the fleet's
-  /// secret is known.
+  /// Runs statements that other instances forward to this one, and forwards its
+  /// own ones to the owners of endpoints; null until the fleet's secret is
+  /// known.
   std::unique_ptr<session::relay_server> ForwardingServer;
   std::unique_ptr<session::relay_links> ForwardingClient;
-  /// Who owns the connections to each endpoint, as this instance sees it.
+  /// The instance that owns the connections to each endpoint, as computed here.
   std::map<base::endpoint_name, base::instance_name, std::less<>> Owners;
-  /// The instances among which these were divided.
+  /// The instances among which Owners was last divided.
   std::vector<session::owner_candidate> OwnerCandidates;
   control::demand_shares Shares;
   control::token_lending Transfers;
-  /// Operations that wait for tokens of another instance.
+  /// Operations that wait for another instance's answer about tokens.
   session::wait_list TokenWaits;
-  /// What keepers of buckets answered to requests, by number; nothing yet for
-  /// one that is open.
+  /// Answers of bucket owners by request number; empty while a request is
+  /// unanswered.
   std::map<std::uint64_t, std::optional<control::keeper_answer>>
       BucketOwnerAnswers;
   session::primary_claims Claims;
   session::handover_limits Handover;
-  /// Services whose primary this instance is moving.
+  /// Services whose primary this instance is replacing.
   std::set<base::service_name> Moving;
-  /// Endpoints in use as primaries that are not listed, and since when.
+  /// Primaries that are missing from the endpoint list, and since when.
   std::map<base::endpoint_name, base::instant> MissingPrimaries;
-  /// Orderers of unfinished moves that are not heard, by service.
+  /// Since when the orderer of each service's unfinished move is not alive.
   std::map<base::service_name, base::instant> OrdererUnreachableSince;
-  /// Services for which an order to promote is on its way.
+  /// Services with a promotion order that the platform has not answered yet.
   std::set<base::service_name> PromotionsInFlight;
-  /// When the last such order ended.
+  /// When the last promotion order was answered or timed out.
   base::instant LastPromotionEndedAt = base::instant::min();
-  /// Endpoints that are being probed.
+  /// Endpoints with a status probe under way.
   std::set<base::endpoint_name> Probing;
-  /// Versions of the other instances' rows, to remove those of dead ones.
+  /// Versions of the instances' rows, by which the rows of dead ones are
+  /// removed.
   std::map<base::instance_name, std::uint64_t> InstanceRowVersions;
-  /// The last reading of the endpoints' list, own or relayed.
+  /// The newest endpoint list, read from the store or received from the store
+  /// reader.
   std::vector<session::endpoint_entry> EndpointList;
   std::optional<base::instant> EndpointListAt;
-  /// The list as this instance last sent it to the others in full.
+  /// The list that this instance last sent to the others in full.
   std::vector<session::endpoint_entry> SentEndpointList;
   std::optional<base::instant> SentEndpointListAt;
   std::optional<base::instant> FleetReadAt;
   std::optional<base::instant> OutOfContactSince;
   control::currency Freshness = control::currency::Isolated;
-  /// Whether the last call to the store was answered.
+  /// Whether the last request to the store was answered.
   bool StoreUp = true;
   bool FleetReadWanted = false;
   kernel::life_cycle Life;
   std::mt19937_64 Random;
   bool Listening = false;
-  /// Begins with the first signal: not ready, no new duties.
+  /// Set by the first stop signal: the instance is not ready any more and takes
+  /// on no new duties.
   bool Draining = false;
-  /// All loops end.
+  /// Ends all loops.
   bool Stopped = false;
 };
 
-/// The system's own rows are in one table: this one names who orders.
+/// Key of the row that names the instance which may order promotions. It is in
+/// the same table as the other rows that instances keep.
 constexpr std::string_view OrdererKey = "orderer/promotion";
 
 /// \name Reading the store
 /// @{
-/// A reading ends when nothing arrives for so long; how long it may take
-/// depends on its size and on the link.
+/// A read fails when nothing arrives for this long. There is no limit on its
+/// whole duration, which depends on its size and on the link.
 constexpr base::milliseconds ReadIdleTimeout{1000};
-/// A reading that fits a datagram.
+/// Largest shared read that fits a datagram.
 constexpr std::size_t MaxSharedReadBytes = 60'000;
 constexpr base::instant LongAgo{-std::chrono::hours(1)};
-/// How often to look whether another instance has told news.
+/// How often to check whether heartbeats have reported a change.
 constexpr base::milliseconds UpdateCheckInterval{100};
-/// After a failed call. Together the instances stay far below the store's
-/// rates also when it turns all away.
+/// Delay after a failed request. It keeps the whole fleet far below the store's
+/// rate limits also when the store rejects every request.
 constexpr base::milliseconds RetryDelay{250};
 /// @}
 
 using platform_instance_ptr = std::shared_ptr<platform_instance_state>;
 
-/// Whether this instance has been unable to use primaries for a while.
+/// Whether this instance has been unable to use primaries for CutOffAfter.
 bool isCutOff(const platform_instance_state &State);
-/// Whether callers may be sent here.
+/// Whether the balancer may send callers to this instance.
 bool isReady(const platform_instance_state &State);
 
 /// \name Loops, each run as a coroutine until the instance stops
 /// @{
-/// Makes or reads the fleet's secret, registers this instance, and starts the
-/// services that need both.
+/// Creates or reads the fleet's secret, registers this instance, and starts the
+/// services that need both; then runs followFleet.
 base::task<void> joinFleet(platform_instance_ptr State);
+/// Reads the rows of the fleet repeatedly and removes those of dead instances.
 base::task<void> followFleet(platform_instance_ptr State);
+/// Keeps the operators' configuration up to date, from the store or from
+/// another instance.
 base::task<void> followConfiguration(platform_instance_ptr State);
+/// Keeps the endpoint list up to date, and sends it to the other instances when
+/// this one is the store reader.
 base::task<void> followEndpoints(platform_instance_ptr State);
-/// Probes primaries in doubt and moves those that failed or leave.
+/// Probes primaries that may have failed, and replaces those that failed or
+/// leave.
 base::task<void> monitorPrimaries(platform_instance_ptr State);
+/// Checks the contact with the fleet, opens the callers' address, divides
+/// connections and closes unused ones.
 base::task<void> runPlatformHousekeeping(platform_instance_ptr State);
 /// @}
 
-/// \name Asking endpoints
+/// \name Status of endpoints
 /// @{
-/// Asks an endpoint for its state over a fresh connection.
+/// Asks an endpoint for its status over a new connection; fails after \p Time.
 base::task<session::status_exchange> askStatus(platform_instance_state &State,
                                                session::endpoint_entry Entry,
                                                base::milliseconds Time);
-/// Probes a primary when statements speak against it or get no answer.
+/// Probes a primary when statements at it failed or remain unanswered.
 void probeIfInDoubt(platform_instance_ptr State,
                     const base::endpoint_name &Name);
 /// @}
 
-/// \name What instances tell each other
+/// \name Heartbeats
 /// @{
-/// Connects the peers' service with the rest.
+/// Registers the handlers of heartbeats with the peer service.
 void connectPeers(platform_instance_state &State);
-/// Puts the agreements on primaries into the heartbeats from now on.
+/// Puts the known claims of primaries into the heartbeats from now on.
 void announceClaims(platform_instance_state &State);
-/// Whether this instance reads the store for the others: the first by name of
-/// those that are up and have had an answer of the store lately.
+/// Whether this instance is the store reader, which reads the store for the
+/// others: the first in rank of those that are alive and had an answer of the
+/// store lately.
 bool isStoreReader(const platform_instance_state &State);
-/// Whether somebody who is up reads the store for this instance.
+/// Whether another instance that is alive reads the store for this one.
 bool hasStoreReader(const platform_instance_state &State);
-/// The newest row of the configuration that an instance has in force.
+/// The highest row version of the configuration that another instance reports.
 std::uint64_t newestConfigurationRow(const platform_instance_state &State);
-/// Instances that suspect the primary of \p Service, this one included.
+/// How many instances suspect the primary of \p Service, this one included.
 std::size_t countSuspects(const platform_instance_state &State,
                           std::string_view Service);
 /// @}
 
-/// \name The right to use primaries
+/// \name Use of primaries
 /// @{
-/// Whether this instance would have learned of a promotion by now.
+/// Whether this instance's knowledge of the fleet is so fresh that it would
+/// have learned of a promotion by now.
 bool isInContactWithFleet(platform_instance_state &State);
-/// Notes the outcome of a call to the store, and logs a change.
+/// Records whether a request to the store was answered, and logs a change.
 void noteStoreResult(platform_instance_state &State, bool Answered,
                      std::string_view Reason);
+/// The lease under which this instance may use the primary of \p Service;
+/// nothing while the primary is being replaced or the contact with the fleet is
+/// lost.
 std::optional<session::primary_right>
 primaryLeaseFor(platform_instance_state &State, std::string_view Service);
-/// The endpoint in use as the primary of \p Service; empty when there is none.
+/// The primary of \p Service by the newest claim, or by the endpoint list where
+/// there is no claim; empty when there is none.
 base::endpoint_name primaryOf(const platform_instance_state &State,
                               std::string_view Service);
+/// How long the running move of the primary of \p Service is expected to take
+/// from now; nothing when none runs or when it takes too long.
 std::optional<base::milliseconds>
 primaryExpected(const platform_instance_state &State, std::string_view Service);
-/// Takes in an agreement; false when it is old.
+/// Applies a claim; false when it is not newer than the known one, or when a
+/// promotion order for the service is unanswered.
 bool acceptClaim(platform_instance_state &State,
                  const session::primary_claim &Claim);
-/// Whether this instance cannot work with the primary of \p Service.
+/// Whether this instance suspects that the primary of \p Service has failed.
 bool suspects(const platform_instance_state &State, std::string_view Service);
 /// @}
 
-/// Takes in what another instance has read from the store.
+/// Applies what the store reader has read and sent to this instance.
 void acceptSharedRead(platform_instance_state &State,
                       const wire::store_reading &Reading);
-/// Reads the system's own rows and takes them in. Nothing when the store did
-/// not answer.
+/// Reads the rows of the fleet and applies them. Nothing when the store did not
+/// answer.
 base::task<std::optional<platform::table_rows>>
 readFleet(platform_instance_state &State);
 
-/// Removes this instance's row: it has stopped and counts no more.
+/// Removes this instance's row, so that it does not count for majorities and
+/// shares any more.
 base::task<void> removeInstance(platform_instance_state &State);
 
 /// \name Customers' rates
 /// @{
-/// Takes an operation of the customer's rate, with tokens of another instance
-/// where the own ones do not suffice.
+/// Admits an operation by the customer's rate, with tokens of another instance
+/// when the local ones do not suffice.
 base::task<session::admission> admitOperation(platform_instance_state &State,
                                               std::string Customer,
                                               unsigned Priority,
                                               base::microseconds Patience);
-/// Starts to lend tokens.
+/// Registers the handler of messages about tokens with the peer service.
 void connectTokenTransfers(platform_instance_state &State);
 /// @}
 
 /// \name Connections to endpoints
 /// @{
-/// Starts to take statements of other instances and to pass on own ones.
+/// Starts to run statements that other instances forward, and to forward own
+/// ones.
 void startForwarding(platform_instance_state &State, const std::string &Secret);
-/// Works out anew who owns each endpoint's connections, and how many this
-/// instance may hold.
+/// Recomputes which instance owns each endpoint's connections, and how many
+/// this instance may hold.
 void divideConnections(platform_instance_state &State);
-/// The way to an endpoint through its owner; null when this instance is the
-/// owner or the owner cannot be used now.
+/// A link to an endpoint through the instance that owns its connections; null
+/// when this instance is the owner or the owner cannot be used now.
 std::unique_ptr<session::relay_link>
 forwardingLinkTo(platform_instance_state &State,
                  const session::endpoint_entry &Entry,
@@ -236,8 +262,8 @@
 /// The ports of the session core.
 session::core_ports sessionCorePorts(platform_instance_state &State);
 
-/// Pauses for \p Time, spread by a tenth either way so that instances started
-/// together do not act together.
+/// Waits for \p Time plus or minus up to a tenth, so that instances that were
+/// started together do not act at the same time.
 base::task<void> pauseWithJitter(platform_instance_state &State,
                                  base::milliseconds Time);
 
--- a/packages/redwinggw/src/platform_primaries.cpp
+++ b/packages/redwinggw/src/platform_primaries.cpp
@@ -2,14 +2,15 @@
 
 #include "redwinggw/base/log.hpp"
 
-/// The right to use endpoints as primaries.
+/// Which endpoint is each service's primary, and whether this instance may use
+/// it.
 namespace redwinggw {
 namespace {
 
 using base::milliseconds;
 
-/// From the claim to a new primary that serves: the acknowledgements, and the
-/// platform's promotion of up to a second.
+/// Time from a claim until the new primary serves: the acknowledgements, and
+/// the platform's promotion of up to a second.
 constexpr milliseconds ExpectedMoveTime{1300};
 
 } // namespace
@@ -69,7 +70,7 @@
     return std::nullopt;
   const auto Elapsed =
       std::chrono::duration_cast<milliseconds>(base::now() - Known->Since);
-  // One that takes longer is stuck, and nobody knows for how long.
+  // A move that takes longer is stuck, for an unknown time.
   constexpr milliseconds Stuck = 2 * ExpectedMoveTime;
   if (Elapsed > Stuck)
     return std::nullopt;
@@ -79,9 +80,10 @@
 
 bool acceptClaim(platform_instance_state &State,
                  const session::primary_claim &Claim) {
-  // To know a later claim is to acknowledge it, after which its orderer may
-  // order too. An earlier order of ours that is still on its way would then
-  // come after that one, so it has to end first; the claim is told again.
+  // Knowing a later claim acknowledges it, after which its orderer may order a
+  // promotion. An unanswered earlier order of this instance could then take
+  // effect after that one, so it has to end first. The claim arrives again with
+  // later heartbeats.
   if (State.PromotionsInFlight.contains(Claim.Service))
     return false;
   if (!applyClaim(State.Claims, Claim, base::now()))
--- a/packages/redwinggw/src/platform_probing.cpp
+++ b/packages/redwinggw/src/platform_probing.cpp
@@ -3,7 +3,7 @@
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
 
-/// Asks endpoints for their state over fresh connections.
+/// Status probes of endpoints over new connections.
 namespace redwinggw {
 namespace {
 
@@ -11,11 +11,13 @@
 using base::instant;
 using base::milliseconds;
 
-/// A statement without an answer for so long makes a probe worth its slot.
+/// A statement that is unanswered for this long justifies the slot that a probe
+/// takes.
 constexpr milliseconds ProbeAfter{250};
-/// Set-up and answer of a probe; a busy endpoint answers within this time.
+/// Time for the connection and the answer of a probe; a busy endpoint answers
+/// within it.
 constexpr milliseconds ProbeTimeout{450};
-/// The name under which the system itself connects.
+/// The customer name that the instance itself connects with.
 constexpr std::string_view OwnCustomer = "-";
 
 base::task<void> probe(platform_instance_ptr State, base::endpoint_name Name) {
--- a/packages/redwinggw/src/platform_rates.cpp
+++ b/packages/redwinggw/src/platform_rates.cpp
@@ -4,25 +4,26 @@
 
 #include <algorithm>
 
-/// Admission by customers' rates, with tokens that instances lend each other.
+/// Admission by customers' rates, with transfers of tokens between instances.
 namespace redwinggw {
 namespace {
 
 using base::instant;
 using base::milliseconds;
 
-/// A loan is there within a few round trips; later it serves the next one.
+/// A transfer arrives within a few round trips; tokens that arrive later serve
+/// the next operation.
 constexpr milliseconds TransferTimeout{15};
 
 session::admission admissionOf(const control::demand_verdict &Verdict) {
   return {Verdict.Admitted, Verdict.Counted, Verdict.Wait};
 }
 
-/// A keeper answers within a round trip; one that is slow or gone is not waited
-/// for.
+/// A bucket owner answers within a round trip; one that is slow or gone is not
+/// waited for.
 constexpr milliseconds BucketOwnerTimeout{40};
 
-/// Counts tokens that went from one instance to another.
+/// Counts tokens that were transferred between instances.
 void countTransfer(platform_instance_state &State,
                    const base::customer_name &Customer, std::string_view Step,
                    double Tokens) {
@@ -31,8 +32,8 @@
       .Value += Tokens;
 }
 
-/// Asks another instance for tokens and waits for its answer. False when there
-/// is nobody to ask or no answer in time.
+/// Requests a transfer of tokens and waits for the answer. False when there is
+/// no instance to ask or no answer in time.
 base::task<bool> fetchTokens(platform_instance_state &State,
                              const std::string &Customer, double Missing) {
   const instant Now = base::now();
@@ -62,8 +63,8 @@
   return Answer;
 }
 
-/// Answers a request for tokens; also when there are none, so that nobody
-/// waits in vain.
+/// Answers a request for tokens, also when there are none, so that the other
+/// instance does not wait for its timeout.
 void sendTokens(platform_instance_state &State, const base::instance_name &To,
                 const wire::share_message &Request) {
   wire::share_message Grant = answerTo(Request, wire::share_kind::Grant);
@@ -76,7 +77,7 @@
   State.Peers->send(To, std::move(Grant));
 }
 
-/// Answers a request for an operation's token.
+/// Answers a request for one operation's token, as the bucket's owner.
 void answerTake(platform_instance_state &State, const base::instance_name &To,
                 const wire::share_message &Request) {
   if (Request.Entries.size() != 1)
@@ -97,8 +98,8 @@
   State.Peers->send(To, std::move(Grant));
 }
 
-/// Hands a keeper's answer to the operation that waits for it. True when there
-/// was one.
+/// Hands a bucket owner's answer to the operation that waits for it. True when
+/// there was one.
 bool acceptBucketOwnerAnswer(platform_instance_state &State,
                              const wire::share_message &Answer) {
   const bool Grants = Answer.Kind == wire::share_kind::Grant;
@@ -115,8 +116,8 @@
   return true;
 }
 
-/// Asks the keeper of the customer's bucket. Nothing when it did not answer, or
-/// does not keep it.
+/// Asks the owner of the customer's bucket for a token. Nothing when it did not
+/// answer or does not own the bucket.
 base::task<std::optional<control::keeper_answer>>
 askBucketOwner(platform_instance_state &State, const control::member &Owner,
                const std::string &Customer, unsigned Priority,
@@ -136,7 +137,7 @@
   co_return Answer.mapped();
 }
 
-/// Admits an operation by the bucket that another instance keeps.
+/// Admits an operation by a bucket that another instance owns.
 base::task<control::demand_verdict>
 admitByBucketOwner(platform_instance_state &State, const std::string &Customer,
                    unsigned Priority, base::microseconds Patience,
@@ -144,7 +145,7 @@
   const control::member *Owner =
       State.Peers ? rateKeeper(State.Shares, State.Peers->view(), Customer)
                   : nullptr;
-  // This instance keeps it, and it is empty.
+  // This instance owns the bucket, which is empty.
   if (Owner == nullptr)
     co_return Here;
   const auto Answer =
@@ -176,7 +177,7 @@
                                               std::string Customer,
                                               unsigned Priority,
                                               base::microseconds Patience) {
-  // The first one asked may have lent its tokens a moment ago.
+  // The first instance asked may have sent its tokens elsewhere a moment ago.
   constexpr unsigned MaxSenders = 2;
   auto Verdict =
       takeDemandToken(State.Shares, Customer, Priority, Patience, base::now());
--- a/packages/redwinggw/src/settings.cpp
+++ b/packages/redwinggw/src/settings.cpp
@@ -80,7 +80,7 @@
   const char *Last = Text.data() + Text.size();
   const auto [End, Code] = std::from_chars(Text.data(), Last, Value);
   constexpr double Most = 1e6;
-  // Written so that a value that is no number is refused too.
+  // Written so that NaN is refused too.
   if (Code != std::errc() || End != Last || !(Value >= 0 && Value <= Most))
     return false;
   Field = Value;
@@ -101,13 +101,13 @@
 constexpr const char *AddressAllowed = "IP:port";
 constexpr const char *CapacityAllowed = "a number from 0 to 1000000";
 
-/// For which kind of platform a key without a default must be given.
+/// With which kind of platform a key without a default is required.
 enum class needed { Always, Own, Native };
 
 /// One key of the file.
 struct key_row {
   std::string_view Key;
-  /// Empty: the key must be given.
+  /// Empty when the key is required.
   std::string_view Default;
   std::string_view Allowed;
   std::string_view Meaning;
@@ -135,7 +135,7 @@
      },
      needed::Own},
     {"listen.readiness", "", AddressAllowed,
-     "where the balancer asks whether to send callers (TCP)",
+     "where the load balancer checks readiness (TCP)",
      [](settings &S, const std::string &T) {
        return setAddress(S.Readiness, T);
      },
@@ -148,7 +148,8 @@
      [](settings &S, const std::string &T) {
        return setEnum(S.Kind, base::valueOf(KindNames, T));
      }},
-    {"platform.promotions", "", AddressAllowed, "where promotions are ordered",
+    {"platform.promotions", "", AddressAllowed,
+     "where promotions of endpoints are ordered",
      [](settings &S, const std::string &T) {
        return setAddress(S.Promotions, T);
      },
@@ -168,17 +169,18 @@
      "secret that all instances share: signs tokens and messages",
      [](settings &S, const std::string &T) { return setText(S.KeyFile, T); },
      needed::Own},
-    {"fleet.operator_key_file", "", "a file name", "secret that operators show",
+    {"fleet.operator_key_file", "", "a file name",
+     "secret by which operators authenticate",
      [](settings &S, const std::string &T) {
        return setText(S.OperatorKeyFile, T);
      },
      needed::Own},
     {"log.level", "info", "trace, debug, info, warning, error",
-     "least level that is logged",
+     "lowest level that is logged",
      [](settings &S,
         const std::string
             &T) { return setEnum(S.LogLevel, base::logLevelNamed(T)); }},
-    {"log.format", "text", "text, json", "form of a line",
+    {"log.format", "text", "text, json", "format of a log line",
      [](settings &S, const std::string &T) {
        return setEnum(S.LogFormat, base::logFormatNamed(T));
      }},
@@ -198,7 +200,7 @@
        return setEnum(S.Queue, base::valueOf(QueueNames, T));
      }},
     {"policy.try_timeout_ms", "1000", "50 to 60000",
-     "a single try at an endpoint is given up after this time",
+     "timeout of a single try at an endpoint",
      [](settings &S, const std::string &T) {
        return setMilliseconds(S.TryTimeout, T, 50, 60000);
      }},
@@ -208,7 +210,7 @@
        return setMilliseconds(S.ReplicaWait, T, 0, 1000);
      }},
     {"policy.drain_ms", "10000", "0 to 600000",
-     "time that running requests get at a stop",
+     "time that running requests get at a graceful stop",
      [](settings &S, const std::string &T) {
        return setMilliseconds(S.DrainTime, T, 0, 600000);
      }},
@@ -231,8 +233,8 @@
   return Place + ": '" + Line + "' is neither [section] nor key = value";
 }
 
-/// Splits the file into assignments. Boost.Program_options reads the same
-/// form, but does not tell the line of a value.
+/// Splits the file into assignments. Boost.Program_options parses the same
+/// format, but does not report the line of a value.
 void readLines(parse_state &State, const std::string &Text,
                const std::string &Name) {
   std::istringstream Stream(Text);
--- a/packages/redwinggw/src/settings.hpp
+++ b/packages/redwinggw/src/settings.hpp
@@ -10,32 +10,31 @@
 #include <string>
 #include <vector>
 
-/// Settings of an instance: an INI file, overridden by options.
+/// Settings of an instance: an INI file, whose values options override.
 namespace redwinggw {
 
 enum class rate_policy { Shared, Static };
 
-/// What the instance runs on: which protocols callers, endpoints and the
-/// platform speak.
+/// Which protocols callers, endpoints and the platform speak.
 enum class platform_kind {
-  /// Those of this project; docs/PLATFORM.md, docs/CALLERS.md.
+  /// This project's own ones; docs/PLATFORM.md, docs/CALLERS.md.
   Own,
-  /// Those of the users' machines; docs/PLATFORM-ADAPTER.md.
+  /// Those of the users' platform; docs/PLATFORM-ADAPTER.md.
   Native,
 };
 
 struct settings {
   std::string Name;
   std::string Zone;
-  /// How much work it can take compared with other instances.
+  /// Capacity relative to other instances; 0 when it is not given.
   double Capacity = 0;
   http::address Callers;
   http::address Operators;
   http::address Peers;
   http::address Platform;
   platform_kind Kind = platform_kind::Own;
-  /// Native only: where the balancer asks whether to send callers here, where
-  /// metrics are read, and where promotions are ordered.
+  /// Used with platform_kind::Native only: where this instance serves readiness
+  /// and metrics, and where it orders promotions.
   http::address Readiness;
   http::address Metrics;
   http::address Promotions;
@@ -52,15 +51,15 @@
   base::milliseconds DrainTime{10000};
 };
 
-/// A value that takes the place of one in the file: "section.key", text.
+/// A value that replaces one of the file; Key is "section.key".
 struct settings_override {
   std::string Key;
   std::string Value;
 };
 
-/// Reads \p Text, the content of the file \p Name. All faults are reported at
-/// once, a line each: file, line, key, what is allowed. Fails with
-/// errc::BadSettings.
+/// Parses \p Text, the content of the file \p Name. Fails with
+/// errc::BadSettings and one line for each fault: file, line, key, what is
+/// allowed.
 base::result<settings> parseSettings(const std::string &Text,
                                      const std::string &Name,
                                      const std::vector<settings_override> &Set);
@@ -69,7 +68,7 @@
 /// with errc::BadSettings when it is missing or shorter than 16 characters.
 base::result<std::string> readSecret(const std::string &File);
 
-/// A table of all keys for people: key, default, what is allowed, meaning.
+/// A table of all keys for --help: key, default, meaning, what is allowed.
 std::string settingsTable();
 
 } // namespace redwinggw
--- a/packages/redwinggw/src/wiring.cpp
+++ b/packages/redwinggw/src/wiring.cpp
@@ -10,7 +10,8 @@
 
 using base::event_kind;
 
-/// A service of the registry; throws what \p Start reports as a failure.
+/// An entry of the registry for \p Served. \p Start reports a failure by an
+/// exception.
 template <typename Object>
 kernel::service makeService(std::string Name, std::vector<std::string> Needs,
                             Object &Served, std::function<void()> Start,
@@ -36,9 +37,9 @@
     return State.Configuration.inForce();
   };
   Ports.MayServe = [&State] {
-    // Judged for each request: a process that was paused may answer callers
+    // Checked for each request: a process that was paused may answer callers
     // before its own timers run, with keys that were withdrawn meanwhile.
-    // Without a sheet there is nobody to serve.
+    // Without a sheet there are no customers.
     return judgeFreshness(State) != control::currency::Isolated &&
            State.Configuration.inForce().Version > 0;
   };
@@ -88,7 +89,8 @@
   return Clock;
 }
 
-/// What the others say about the groups, in the form of the detector.
+/// The other instances' reports about the groups, as the failure detector takes
+/// them.
 std::vector<data::peer_report> reportsOf(const instance_state &State) {
   std::vector<data::peer_report> Reports;
   const base::instant Now = base::now();
@@ -117,7 +119,7 @@
   return Reports;
 }
 
-/// The other instances that are up, with the version at each.
+/// The other instances that are alive, with the configuration version at each.
 std::vector<control::instance_version>
 versionsOf(const control::peer_service &Peers) {
   std::vector<control::instance_version> Versions;
@@ -176,7 +178,7 @@
   const std::string Name(control::currencyName(State.Freshness));
   recordEvent(State, event_kind::ConfigurationStale, Name);
   base::log(base::log_level::Info, base::log_part::Configuration,
-            "Currency is " + Name + ".");
+            "Configuration freshness is " + Name + ".");
   return State.Freshness;
 }
 
--- a/packages/redwinggwctl/include/redwinggw/ctl/tool.hpp
+++ b/packages/redwinggwctl/include/redwinggw/ctl/tool.hpp
@@ -9,10 +9,10 @@
 #include <string>
 #include <vector>
 
-/// redwinggwctl without its process: the operators' tool.
+/// redwinggwctl, the operators' command-line tool, as a library.
 namespace redwinggw::ctl {
 
-/// What the process exits with; docs/OPERATIONS.md states them.
+/// Exit codes of the process, documented in docs/OPERATIONS.md.
 enum class exit_code {
   Ok = 0,
   Refused = 1,
@@ -21,16 +21,16 @@
   OutcomeUnknown = 4,
 };
 
-/// Sends one request to an instance and waits for the answer.
+/// Sends one request to an instance and waits for the response.
 using exchange_port = std::function<base::result<http::response>(
     const http::address &, const http::request &)>;
 
-/// The exchange over the network. Blocks.
+/// The exchange port that uses the network. Blocks.
 base::result<http::response> exchange(const http::address &Address,
                                       const http::request &Request);
 
-/// Runs one command. \p Arguments are without the program's name. Answers go
-/// to \p Out, what went wrong to \p Err.
+/// Runs one command. \p Arguments are without the program's name. Results are
+/// printed to \p Out, errors and warnings to \p Err.
 exit_code runTool(const std::vector<std::string> &Arguments,
                   const exchange_port &Exchange, std::ostream &Out,
                   std::ostream &Err);
--- a/packages/redwinggwctl/src/commands.hpp
+++ b/packages/redwinggwctl/src/commands.hpp
@@ -10,21 +10,20 @@
 /// The commands of redwinggwctl.
 namespace redwinggw::ctl {
 
-/// What a command works with.
+/// What a command gets to run.
 struct command_context {
   tool_client Client;
   const tool_options &Options;
-  /// The words after the command.
+  /// The arguments after the command's name.
   std::vector<std::string> Operands;
   std::ostream &Out;
   std::ostream &Err;
 };
 
-/// One command.
 struct command {
-  /// One or two words.
+  /// One or two words, as typed.
   std::string_view Name;
-  /// Names of operands for the help; those in brackets may be left out.
+  /// Names of the operands for --help; those in brackets are optional.
   std::string_view Operands;
   std::size_t MinOperands;
   std::size_t MaxOperands;
@@ -32,10 +31,9 @@
   exit_code (*Run)(command_context &);
 };
 
-/// All commands.
 const std::vector<command> &commands();
 
-/// Says what went wrong and what to do; the exit code that goes with it.
+/// Prints the error and its remedy. Returns the exit code of that error.
 exit_code report(const command_context &Context, const base::failure &Failure);
 
 exit_code checkSheet(command_context &Context);
--- a/packages/redwinggwctl/src/fleet_commands.cpp
+++ b/packages/redwinggwctl/src/fleet_commands.cpp
@@ -28,7 +28,7 @@
   });
 }
 
-/// Why nobody answered.
+/// The error to report when no instance answered.
 failure firstFailure(const std::vector<instance_answer> &Answers) {
   if (Answers.empty())
     return {errc::BadSettings,
@@ -150,8 +150,8 @@
 }
 
 exit_code drainInstance(command_context &Context) {
-  // Guards against a whole fleet that is stopped by a list of addresses meant
-  // for another command.
+  // Prevents a list of addresses that was meant for another command from
+  // stopping a whole fleet.
   if (Context.Options.Operators.size() != 1)
     return report(Context,
                   failure(errc::BadSettings,
@@ -164,7 +164,7 @@
   if (Context.Options.Json)
     Context.Out << *Answer << "\n";
   else
-    Context.Out << "The instance finishes its work and stops.\n";
+    Context.Out << "The instance finishes its running work and stops.\n";
   return exit_code::Ok;
 }
 
--- a/packages/redwinggwctl/src/sheet_commands.cpp
+++ b/packages/redwinggwctl/src/sheet_commands.cpp
@@ -31,8 +31,9 @@
   return List;
 }
 
-/// The sheet of the first operand, when it has no faults; otherwise prints
-/// them. Nothing is sent: an instance would find the same.
+/// Reads the sheet that the first operand names. Fails and prints the faults
+/// when it is invalid, without a request: an instance would find the same
+/// faults.
 result<std::string> readValidSheet(command_context &Context) {
   auto Text = readFile(Context.Operands.front());
   if (!Text)
@@ -49,7 +50,7 @@
                                      " faults; nothing was changed");
 }
 
-/// Prints \p Answer as JSON when that was asked for.
+/// Prints \p Answer when JSON output was requested. True when it was.
 bool printedAsJson(const command_context &Context, const json::object &Answer) {
   if (Context.Options.Json)
     Context.Out << Answer << "\n";
@@ -72,14 +73,13 @@
               << " version " << numberIn(Answer, "version") << "; in force at "
               << numberIn(Answer, "in_force_at") << " of "
               << numberIn(Answer, "instances")
-              << " instances that are heard.\n";
+              << " instances that are in contact.\n";
   if (!flagIn(Answer, "confirmed"))
-    Context.Err << "A majority of the instances has not told yet that it knows "
-                   "this version; look at `redwinggwctl status` until all have "
-                   "it.\n";
+    Context.Err << "A majority of the instances has not yet confirmed this "
+                   "version; check `redwinggwctl status` until all have it.\n";
 }
 
-/// A whole number in the operand, when there is one.
+/// A request body with the optional operand, a whole number, as member \p Name.
 result<json::object> withNumber(const command_context &Context,
                                 std::string_view Name) {
   json::object Body;
@@ -96,7 +96,7 @@
   return Body;
 }
 
-/// Year-month-day hour:minute:second UTC, for people.
+/// Formats a time as "year-month-day hour:minute:second UTC".
 std::string timeText(std::int64_t WallMilliseconds) {
   constexpr std::int64_t PerSecond = 1000;
   const auto Seconds = static_cast<std::time_t>(WallMilliseconds / PerSecond);
--- a/packages/redwinggwctl/src/tool.cpp
+++ b/packages/redwinggwctl/src/tool.cpp
@@ -13,7 +13,7 @@
 using base::errc;
 using base::failure;
 
-/// Exit codes of failures; those that are not here are refusals.
+/// Exit codes of failures; all others exit with exit_code::Refused.
 struct exit_row {
   errc Kind;
   exit_code Code;
@@ -41,7 +41,7 @@
         << Command.Operands << "\n      " << Command.Help << "\n";
   Out << "\n"
       << optionsHelp()
-      << "\nExit codes: 0 done, 1 refused, 2 wrong use, 3 unreachable, "
+      << "\nExit codes: 0 done, 1 refused, 2 usage error, 3 unreachable, "
          "4 outcome unknown\n";
 }
 
@@ -67,7 +67,7 @@
 
 exit_code usage(std::ostream &Err, const std::string &Problem) {
   Err << "redwinggwctl: " << Problem
-      << "; `redwinggwctl --help` names commands and options\n";
+      << "; see `redwinggwctl --help` for commands and options\n";
   return exit_code::Usage;
 }
 
@@ -75,19 +75,20 @@
 
 const std::vector<command> &commands() {
   static const std::vector<command> Commands{
-      {"sheet check", "FILE", 1, 1, "finds all faults; asks no instance",
+      {"sheet check", "FILE", 1, 1, "validates the sheet; contacts no instance",
        checkSheet},
-      {"sheet diff", "FILE", 1, 1, "what the sheet changes", diffSheet},
+      {"sheet diff", "FILE", 1, 1, "shows what the sheet changes", diffSheet},
       {"sheet submit", "FILE", 1, 1, "puts the sheet in force", submitSheet},
-      {"sheet show", "[VERSION]", 0, 1, "the sheet in force, or a former one",
-       showSheet},
+      {"sheet show", "[VERSION]", 0, 1,
+       "the sheet in force, or an earlier version", showSheet},
       {"sheet history", "[COUNT]", 0, 1, "accepted versions, newest first",
        showHistory},
       {"customer list", "", 0, 0, "all customers with their key ids",
        listCustomers},
       {"customer show", "NAME", 1, 1, "one customer", showCustomer},
-      {"key give", "CUSTOMER", 1, 1, "makes a key and shows it once", giveKey},
-      {"key withdraw", "ID", 1, 1, "takes a key out of force", withdrawKey},
+      {"key give", "CUSTOMER", 1, 1, "creates a key and shows it once",
+       giveKey},
+      {"key withdraw", "ID", 1, 1, "revokes a key", withdrawKey},
       {"status", "", 0, 0, "instances, versions, groups, connections, queues",
        showStatus},
       {"timeline", "[--request ID] [--chrome]", 0, 0,
@@ -143,7 +144,7 @@
   try {
     return Command->Run(Context);
   } catch (const std::exception &Error) {
-    // An answer without the members that it must have.
+    // The answer lacks a member that it must have.
     return report(Context, failure(errc::TruncatedAnswer, Error.what()));
   }
 }
--- a/packages/redwinggwctl/src/tool_options.cpp
+++ b/packages/redwinggwctl/src/tool_options.cpp
@@ -16,7 +16,7 @@
 using base::failure;
 using base::result;
 
-/// Texts of the options before they are checked.
+/// Option values before validation.
 struct raw_options {
   std::string Operators;
   std::string Config;
@@ -45,7 +45,7 @@
   return Visible;
 }
 
-/// Fills in from the INI file what the command line left out.
+/// Takes options that the command line does not give from the INI file.
 result<void> readConfig(raw_options &Raw) {
   if (Raw.Config.empty())
     return {};
--- a/packages/redwinggwctl/src/tool_options.hpp
+++ b/packages/redwinggwctl/src/tool_options.hpp
@@ -14,7 +14,7 @@
   std::vector<std::string> Words;
   std::vector<http::address> Operators;
   std::string OperatorKey;
-  /// Request id that a time line is cut down to; empty for all.
+  /// Limits the time line to the events of this request id unless empty.
   std::string RequestId;
   bool Json = false;
   bool Chrome = false;
@@ -22,13 +22,14 @@
   bool ShowHelp = false;
 };
 
-/// Fails with errc::BadSettings, whose detail names the option.
+/// Parses the command line. Fails with errc::BadSettings, whose detail names
+/// the option.
 base::result<tool_options> readOptions(const std::vector<std::string> &Words);
 
-/// The options, for --help.
+/// Description of the options for --help.
 std::string optionsHelp();
 
-/// The content of a file. Fails with errc::BadSettings.
+/// Reads a whole file. Fails with errc::BadSettings.
 base::result<std::string> readFile(const std::string &Path);
 
 } // namespace redwinggw::ctl
--- a/packages/redwinggwctl/src/tool_requests.cpp
+++ b/packages/redwinggwctl/src/tool_requests.cpp
@@ -46,7 +46,8 @@
                  textIn(Body, "detail"));
 }
 
-/// True when the request had no effect and another instance may take it.
+/// Whether the request may be sent to another instance after \p Failure: it had
+/// no effect, or it changes nothing.
 bool mayTryNextInstance(const failure &Failure, effect Effect) {
   switch (kindOf(Failure)) {
   case errc::InstanceUnreachable:
@@ -55,15 +56,15 @@
     return true;
   case errc::OutcomeUnknown:
   case errc::TruncatedAnswer:
-    // Guards against a change that is done twice: a key given at a second
-    // instance although the first one gave it and its answer was lost.
+    // A change must not be made twice, such as a key that a second instance
+    // creates although the first one created it and its answer was lost.
     return Effect == effect::ReadOnly;
   default:
     return false;
   }
 }
 
-/// The client's failure in the operators' words.
+/// A failure of the HTTP client as operators know it: instances, not endpoints.
 failure instanceFailure(const failure &Failure) {
   if (kindOf(Failure) == errc::EndpointUnreachable)
     return {errc::InstanceUnreachable, Failure.Detail};
--- a/packages/redwinggwctl/src/tool_requests.hpp
+++ b/packages/redwinggwctl/src/tool_requests.hpp
@@ -6,13 +6,13 @@
 
 #include <boost/json/value.hpp>
 
-/// Asks instances.
+/// Requests of the tool to instances.
 namespace redwinggw::ctl {
 
-/// Whether repeating a request could do its work twice.
+/// Whether a request changes anything, so that repeating it could do so twice.
 enum class effect { ReadOnly, Changes };
 
-/// One instance's answer.
+/// One instance's answer, or why there is none.
 struct instance_answer {
   http::address Address;
   base::result<boost::json::object> Body;
@@ -23,21 +23,21 @@
   const tool_options &Options;
 };
 
-/// Asks one instance. Fails with errc::EndpointUnreachable, with
-/// errc::OutcomeUnknown, and with what the instance refused with.
+/// Sends a request to one instance. Fails with errc::InstanceUnreachable, with
+/// errc::OutcomeUnknown, and with the error that the instance returned.
 base::result<boost::json::object> requestOne(const tool_client &Client,
                                              const http::address &Address,
                                              const std::string &Path,
                                              const boost::json::object &Body);
 
-/// Asks the given instances in turn until one answers. After an unknown
-/// outcome of a change no other one is asked.
+/// Sends a request to the given instances in order until one answers. After an
+/// unknown outcome of a change no other instance is tried.
 base::result<boost::json::object> requestAny(const tool_client &Client,
                                              const std::string &Path,
                                              const boost::json::object &Body,
                                              effect Effect);
 
-/// Asks all given instances and those on the platform's list.
+/// Sends a request to all given instances and all on the platform's list.
 std::vector<instance_answer> requestAll(const tool_client &Client,
                                         const std::string &Path);
 
--- a/packages/redwinggwctl/src/tool_tables.cpp
+++ b/packages/redwinggwctl/src/tool_tables.cpp
@@ -12,7 +12,7 @@
 
 namespace json = boost::json;
 
-/// Enough for rates up to 10,000,000 with three decimals.
+/// Significant digits, enough for rates up to 10,000,000 with three decimals.
 constexpr int NumberDigits = 10;
 
 std::string textOf(const json::value &Value) {
@@ -38,7 +38,7 @@
                              [](const auto &Row) { return Row.is_object(); });
 }
 
-/// The rows of a table whose own rows hold tables.
+/// Replaces each row that holds a nested table by one row for each nested one.
 std::vector<json::object> flattened(const json::array &Rows) {
   std::vector<json::object> Flat;
   for (const json::value &Row : Rows) {
--- a/tests/native/large_configuration_test.cpp
+++ b/tests/native/large_configuration_test.cpp
@@ -19,7 +19,8 @@
 
 } // namespace
 
-// Guards against a configuration that never comes into force over a slow link.
+// A large configuration must come into force although the link to the store is
+// slow.
 Test(large_configuration, arrives_over_a_slow_link) {
   native_fleet Fleet(2);
   line_client Caller(Fleet.Instances[1].Callers, "strict", "key");
@@ -32,7 +33,8 @@
   cr_assert(eventually([&] { return Caller.run("READ a").Error == "DENIED"; }));
 }
 
-// Guards against a configuration too large for what instances tell each other.
+// The store rejects one instance: a configuration that is too large for a
+// heartbeat must reach it from the other instances.
 Test(large_configuration, reaches_an_instance_that_the_store_turns_away) {
   native_fleet Fleet(3);
   line_client Caller(Fleet.Instances[2].Callers, "strict", "key");
--- a/tests/native/line_client.hpp
+++ b/tests/native/line_client.hpp
@@ -11,27 +11,27 @@
 
 namespace redwinggw::fleet {
 
-/// What a caller got for one statement.
+/// The answer to one statement.
 struct line_answer {
   std::vector<std::string> Rows;
-  /// What stood behind the end of the answer; empty after an error.
+  /// Text of the DONE line after the word; empty after an error.
   std::string Signature;
-  /// Code of the error; "closed" when the connection ended.
+  /// Error code; "closed" when the connection ended.
   std::string Error;
   std::string State;
 };
 
-/// A caller that waits for each answer. Used from one thread.
+/// A blocking client of the users' line protocol. Used from one thread.
 class line_client {
 public:
-  /// Connects and starts a session; failed() tells how it was refused.
+  /// Connects and starts a session; failed() is the error code or empty.
   line_client(const http::address &Address, const std::string &Database,
               const std::string &Key);
 
   const std::string &failed() const { return Failed; }
 
   line_answer run(const std::string &Text);
-  /// Sends bytes as they are, and reads one answer.
+  /// Sends bytes unchanged and reads one answer.
   line_answer send(const std::string &Bytes);
 
 private:
--- a/tests/native/native_fleet.cpp
+++ b/tests/native/native_fleet.cpp
@@ -52,8 +52,8 @@
   }
   for (const native_process &Instance : Instances)
     if (!eventually([&] { return isReady(Instance); }))
-      throw std::runtime_error(
-          Instance.Name + " does not get ready: " + Instance.Process->output());
+      throw std::runtime_error(Instance.Name + " does not become ready: " +
+                               Instance.Process->output());
 }
 
 void native_fleet::start(native_process &Instance) {
--- a/tests/native/native_fleet.hpp
+++ b/tests/native/native_fleet.hpp
@@ -9,7 +9,7 @@
 
 namespace redwinggw::fleet {
 
-/// One real instance.
+/// One real instance process.
 struct native_process {
   std::string Name;
   http::address Callers;
@@ -18,8 +18,9 @@
   std::unique_ptr<child_process> Process;
 };
 
-/// Real instances before a world of stand-ins; the last one reaches the store
-/// by the second way. Used from one thread.
+/// Real instances against stand-ins of the users' platform. The last instance
+/// reaches the store through the stand-in's second address. Used from one
+/// thread.
 struct native_fleet {
   explicit native_fleet(std::size_t Instances);
   ~native_fleet();
@@ -33,7 +34,7 @@
   std::vector<native_process> Instances;
 };
 
-/// Whether the balancer would send callers to \p Instance.
+/// Whether \p Instance reports that it is ready, as the load balancer checks.
 bool isReady(const native_process &Instance);
 
 } // namespace redwinggw::fleet
--- a/tests/native/native_path_test.cpp
+++ b/tests/native/native_path_test.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// Writes until it succeeds, as a caller does that repeats what was refused.
+/// Retries a write until it succeeds, over a new session each time.
 bool writeEventually(const native_process &Instance, const std::string &Item,
                      const std::string &Data) {
   return eventually([&] {
@@ -23,7 +23,7 @@
 
 } // namespace
 
-// Each kind of statement from end to end, through real processes.
+// Each kind of statement through a real instance.
 Test(native_path, serves_statements_of_every_kind) {
   native_fleet Fleet(1);
   line_client Caller(Fleet.Instances[0].Callers, "own", "key");
@@ -66,8 +66,8 @@
   cr_assert(Answer.Error == "TOOLARGE" || Answer.Error == "closed");
 }
 
-// The operators withdraw a key while its caller stays connected: the next
-// statements must be denied, at every instance.
+// A key is withdrawn while its callers stay connected: their next statements
+// must be denied, at every instance.
 Test(native_path, stops_a_withdrawn_key_on_open_sessions) {
   native_fleet Fleet(2);
   line_client First(Fleet.Instances[0].Callers, "strict", "key");
@@ -79,8 +79,8 @@
   cr_assert(eventually([&] { return Second.run("READ a").Error == "DENIED"; }));
 }
 
-// The store turns one instance away and serves the others: a key that is
-// withdrawn meanwhile must stop there too, by word of the others.
+// The store rejects one instance and serves the others: a key that is withdrawn
+// meanwhile must be denied there too, by the configuration of the others.
 Test(native_path, tells_an_instance_that_the_store_turns_away) {
   native_fleet Fleet(3);
   line_client Caller(Fleet.Instances[2].Callers, "strict", "key");
@@ -92,8 +92,8 @@
   cr_assert(eventually([&] { return Caller.run("READ a").Error == "DENIED"; }));
 }
 
-// A database runs a payment and its answer is lost: the caller must not be
-// told that nothing happened, and nobody may repeat it.
+// A database runs a write and its answer is lost: the outcome must be reported
+// as unknown, and the write must not be retried.
 Test(native_path, leaves_an_unanswered_write_in_doubt) {
   native_fleet Fleet(1);
   line_client Caller(Fleet.Instances[0].Callers, "strict", "key");
@@ -108,15 +108,15 @@
   });
 }
 
-// The primary crashes: a replica takes over, ordered once, and an acknowledged
-// write that the replica had received is still there.
+// The primary crashes: one promotion is ordered, and an acknowledged write that
+// the replica had received is kept.
 Test(native_path, moves_the_primary_after_a_crash) {
   native_fleet Fleet(3);
   cr_assert(writeEventually(Fleet.Instances[0], "a", "before"));
-  // Past the lag of the replicas.
+  // Longer than the replication lag.
   std::this_thread::sleep_for(std::chrono::milliseconds(100));
   Fleet.World.crash("d1");
-  // Two instances have to meet the crash.
+  // Two instances have to notice the crash.
   line_client Other(Fleet.Instances[1].Callers, "strict", "key");
   Other.run("READ a");
   cr_assert(writeEventually(Fleet.Instances[0], "b", "after"));
@@ -127,8 +127,8 @@
       [](native_world &World) { cr_assert(World.Promotions.size() == 1); });
 }
 
-// The primary announces that it leaves: it is replaced before it goes, and
-// nothing that was acknowledged is lost.
+// The primary announces that it leaves: it is replaced before it stops, and no
+// acknowledged write is lost.
 Test(native_path, replaces_a_leaving_primary_without_loss) {
   native_fleet Fleet(2);
   cr_assert(writeEventually(Fleet.Instances[0], "a", "1"));
@@ -145,7 +145,7 @@
   cr_assert(Caller.run("READ a").Rows == std::vector<std::string>{"1"});
 }
 
-// The store is down: nothing can be changed, and what is in force goes on.
+// The store is down: instances keep serving by the configuration in force.
 Test(native_path, goes_on_while_the_store_is_down) {
   native_fleet Fleet(2);
   cr_assert(writeEventually(Fleet.Instances[0], "a", "1"));
@@ -158,8 +158,8 @@
   cr_assert(Caller.run("READ a").Rows == std::vector<std::string>{"2"});
 }
 
-// A planned stop: the instance is not ready at once, answers what is at work,
-// removes its row and exits with 0.
+// A planned stop: the instance stops being ready, answers running work, removes
+// its row and exits with 0.
 Test(native_path, stops_gracefully) {
   native_fleet Fleet(2);
   native_process &Leaving = Fleet.Instances[0];
@@ -176,9 +176,9 @@
   });
 }
 
-// An instance stops while a caller sends one statement after the other. The one
-// that crossed the close of the session was lost: its caller saw the connection
-// end and could not know whether it had run.
+// An instance stops while a caller sends statements back to back. The statement
+// that was in flight when the session closed was lost: its caller saw the
+// connection end and could not know whether it had run.
 Test(native_path, answers_the_statement_that_crosses_a_stop) {
   native_fleet Fleet(2);
   native_process &Leaving = Fleet.Instances[0];
@@ -193,7 +193,7 @@
   cr_assert(Leaving.Process->wait(std::chrono::seconds(30)) == 0);
 }
 
-// The settings change: an instance that does not expect the signal would end.
+// SIGHUP reloads the settings; without a handler it would end the process.
 Test(native_path, survives_a_reload) {
   native_fleet Fleet(1);
   Fleet.Instances[0].Process->signal(SIGHUP);
@@ -215,7 +215,7 @@
   }));
 }
 
-// The endpoints learn whose statements they run, and never a key.
+// Endpoints are told the customer of a statement, and never its key.
 Test(native_path, shows_endpoints_customers_and_no_keys) {
   native_fleet Fleet(1);
   cr_assert(writeEventually(Fleet.Instances[0], "a", "1"));
--- a/tests/redwinggw/settings_test.cpp
+++ b/tests/redwinggw/settings_test.cpp
@@ -21,7 +21,7 @@
                           "key_file = key\n"
                           "operator_key_file = operator-key\n";
 
-/// What parseSettings says of \p Text; empty when it is accepted.
+/// The faults that parseSettings reports for \p Text; empty when it is valid.
 std::string faultsOf(const std::string &Text) {
   const auto Settings = parseSettings(Text, "i1.ini", {});
   return Settings ? "" : Settings.error().Detail;
@@ -31,7 +31,7 @@
   return Text.find(Part) != std::string::npos;
 }
 
-/// A line put after the valid settings, and what the fault must name.
+/// A line added to the valid settings, and a text that its fault must contain.
 struct broken_line {
   std::string Line;
   std::string Named;
