--- a/tests/process/callers_page_test.cpp
+++ b/tests/process/callers_page_test.cpp
@@ -38,7 +38,7 @@
   cr_assert(outcomeOf(Reply) == "done");
   for (const auto &Field : exampleAfter("## Answer"))
     cr_assert(Reply.Body.contains(Field.key()));
-  // A repeat changes nothing and says so.
+  // A repeated request is not run again, and the answer says so.
   const reply Again = ask(Address, "/v1/statement", Request, Key);
   cr_assert(Again.Body.contains("repeated"));
   cr_assert(Fleet.dump("orders-db-1", "select * from bag").size() == 1);
--- a/tests/process/failover_process_test.cpp
+++ b/tests/process/failover_process_test.cpp
@@ -24,7 +24,7 @@
   Fleet.setFault(FirstPrimary, Fault);
 }
 
-/// Waits until the callers were told "done" for more writes.
+/// Waits until another endpoint is the primary.
 void waitForAnotherPrimary(running_fleet &Fleet) {
   const bool Replaced = eventually([&] {
     const auto *Primary = Fleet.primaryOf(Group);
@@ -35,8 +35,8 @@
   cr_assert(Replaced);
 }
 
-/// Writes through both instances while \p Break, and then \p Heal, happen;
-/// then compares what the callers were told with the data of the primary.
+/// Writes through both instances during \p Break and then \p Heal; then
+/// compares the outcomes that the callers got with the data of the primary.
 void writeThroughFault(const step &Break, const step &Heal) {
   running_fleet Fleet(smallPlan());
   Fleet.start();
@@ -68,8 +68,8 @@
 
 } // namespace
 
-// The primary's machine dies while callers write. A caller sees a gap; each
-// write that was told "done" is there afterwards, once.
+// The primary's machine dies while callers write. Callers see a pause; each
+// write that was reported as "done" is there afterwards, once.
 Test(failover, a_killed_primary_loses_no_acknowledged_write) {
   writeThroughFault(
       [](running_fleet &Fleet) {
@@ -78,8 +78,9 @@
       doNothing);
 }
 
-// The network parts the primary from the instances, but not from its replicas,
-// and later heals. The old primary still believes to be one.
+// A network partition separates the primary from the instances, but not from
+// its replicas, and later heals. The old primary still takes itself for the
+// primary.
 Test(failover, a_primary_cut_from_instances_is_replaced) {
   writeThroughFault(
       [](running_fleet &Fleet) {
@@ -88,8 +89,8 @@
       [](running_fleet &Fleet) { setFault(Fleet, {{"kind", "none"}}); });
 }
 
-// The primary answers the instances but its log reaches no replica. What it
-// commits now would be lost with it, so nothing of it may be acknowledged.
+// The primary answers the instances, but its log reaches no replica. Its
+// commits would be lost with it, so none of them may be acknowledged.
 Test(failover, a_primary_cut_from_its_replicas_acknowledges_nothing) {
   writeThroughFault(
       [](running_fleet &Fleet) {
@@ -98,8 +99,8 @@
       [](running_fleet &Fleet) { setFault(Fleet, {{"kind", "none"}}); });
 }
 
-// The primary's process stands still, is replaced, and wakes up with requests
-// in its hands that it finishes as if no time had passed.
+// The primary's process is stopped, replaced and resumed. It then finishes the
+// requests that it had received before as if no time had passed.
 Test(failover, a_primary_that_wakes_up_replaced_acknowledges_nothing) {
   writeThroughFault(
       [](running_fleet &Fleet) {
--- a/tests/process/instance_life_test.cpp
+++ b/tests/process/instance_life_test.cpp
@@ -17,8 +17,8 @@
 
 } // namespace
 
-// An instance is replaced as planned while a clerk's statement runs. The clerk
-// gets the answer, and the process ends with success.
+// An instance is drained while a caller's statement runs. The caller gets the
+// answer, and the process exits with 0.
 Test(instance_life, a_drain_answers_what_runs_and_exits_with_success) {
   running_fleet Fleet(smallPlan());
   Fleet.start();
@@ -44,8 +44,8 @@
   cr_assert(ExitCode == 0);
 }
 
-// Something between instances and primary forgets all open connections: they
-// stay open, and nothing ever comes back on them. New ones work.
+// A middlebox between instances and primary loses its connection state: open
+// connections stay open but never deliver an answer. New ones work.
 Test(instance_life, silent_connections_are_found_and_replaced) {
   running_fleet Fleet(smallPlan());
   Fleet.start();
--- a/tests/process/key_withdrawal_test.cpp
+++ b/tests/process/key_withdrawal_test.cpp
@@ -16,16 +16,16 @@
   return textIn(Reply.Body, "error") == "unknown_key";
 }
 
-/// Rows that the survivors' primary holds.
+/// Number of rows at the primary.
 std::size_t rowsOf(running_fleet &Fleet) {
   return Fleet.dump("orders-db-1", "select * from bag").size();
 }
 
 } // namespace
 
-// A clerk leaves, and the key is withdrawn at one instance while a
-// transaction under it is open at another. Nothing may run under the key any
-// more, at any instance, and the open transaction must leave nothing behind.
+// A key is withdrawn at one instance while a transaction under it is open at
+// another. No statement may run under the key any more, at any instance, and
+// the open transaction must leave no effect.
 Test(key_withdrawal, a_withdrawn_key_stops_everywhere_and_stays_stopped) {
   running_fleet Fleet(smallPlan());
   Fleet.start();
@@ -45,8 +45,8 @@
   const boost::json::object Run{{"transaction", Transaction},
                                 {"sql", "insert into bag(grams) values(3)"}};
   cr_assert(outcomeOf(Caller.send(Second, "/v1/run", Run)) == "done");
-  // An instance that has not heard the others for a moment accepts nothing;
-  // the operator repeats.
+  // An instance that is briefly out of contact with a majority accepts no
+  // change; the operator repeats it.
   cr_assert(eventually([&] {
     return Fleet.runTool("i1", {"key", "withdraw", "dulciuri-1"}).ExitCode == 0;
   }));
--- a/tests/process/paused_instance_test.cpp
+++ b/tests/process/paused_instance_test.cpp
@@ -35,7 +35,8 @@
   return Request;
 }
 
-/// A caller that keeps its connection: one write, then another on demand.
+/// A caller that sends two writes over one connection, the second one on
+/// demand.
 struct kept_connection {
   http::address Address;
   std::promise<void> FirstDone;
@@ -64,10 +65,11 @@
 
 } // namespace
 
-// An instance is frozen by its host while a key is withdrawn at another one.
-// A request under that key waits in an open connection. At the wake the
-// process reads its sockets before its timers run, so that it serves the
-// request by what it knew before the pause. It must not run.
+// An instance is frozen by its host while a key is withdrawn at another one,
+// and a request under that key arrives on an open connection meanwhile. On
+// resuming, the process reads its sockets before its timers run, and so would
+// serve the request by the configuration from before the pause. It must not run
+// the request.
 Test(paused_instance, a_key_withdrawn_during_a_pause_runs_nothing_at_the_wake) {
   fleet_plan Plan = smallPlan();
   Plan.Instances.push_back({"i3", Plan.Instances.front().Zone});
@@ -83,7 +85,7 @@
     return Fleet.runTool("i1", {"key", "withdraw", "dulciuri-1"}).ExitCode == 0;
   }));
   Kept.Go.set_value();
-  // Longer than what was read of the store may be relied on.
+  // Longer than a read of the store is valid for.
   std::this_thread::sleep_for(std::chrono::milliseconds(2500));
   Paused.Process->signal(SIGCONT);
   CallerThread.join();
--- a/tests/process/platform_outage_test.cpp
+++ b/tests/process/platform_outage_test.cpp
@@ -13,8 +13,8 @@
 
 constexpr const char *Primary = "orders-db-1";
 
-/// Writes before, during and after an outage of all of the platform's
-/// services; \p Before: how many writes come first.
+/// Writes before, during and after an outage of all of the platform's services,
+/// which begins after \p Before writes.
 void writeThroughAnOutage(std::size_t Before) {
   running_fleet Fleet(smallPlan());
   Fleet.start();
@@ -31,16 +31,18 @@
 
 } // namespace
 
-// The platform's services go down for everybody some seconds after the start,
-// when the givers of the rate shares have settled. Callers notice nothing.
+// The platform's services go down for all instances some seconds after the
+// start, when the leases of the share allocators have settled. Callers must not
+// notice it.
 Test(platform_outage, traffic_goes_on_while_the_platform_is_down) {
   constexpr std::size_t Settled = 500;
   writeThroughAnOutage(Settled);
 }
 
-// The same right after the start. After some two seconds every request was
+// The same right after the start. After about two seconds every request was
 // refused with over_rate: leases of rate shares were about to move to the
-// instance that had started last, and nobody gave until the store was back.
+// instance that had started last, and no instance allocated shares until the
+// store was back.
 Test(platform_outage, traffic_goes_on_when_it_goes_down_right_after_the_start) {
   writeThroughAnOutage(0);
 }
--- a/tests/process/whole_path_test.cpp
+++ b/tests/process/whole_path_test.cpp
@@ -19,8 +19,8 @@
 
 } // namespace
 
-// A storefront writes an order through one instance and reads it through the
-// other a moment later, before replicas have applied it. It must see it.
+// A session writes through one instance and reads through the other at once,
+// before replicas have applied the write. It must read its own write.
 Test(whole_path, a_session_that_roams_reads_its_own_write) {
   running_fleet Fleet(smallPlan());
   Fleet.start();
@@ -49,9 +49,9 @@
   cr_assert(Fleet.dump("orders-db-1", "select * from bag").empty());
 }
 
-// A parent pays once but the confirmation is lost between endpoint and
-// instance; the handset repeats through the other instance. One payment must
-// result, and the repeat must tell the first outcome.
+// The answer to a write is lost between endpoint and instance, and the caller
+// repeats the write through the other instance. It must run once, and the
+// repeated request must return the first outcome.
 Test(whole_path, a_write_whose_answer_is_lost_runs_once) {
   running_fleet Fleet(smallPlan());
   Fleet.start();
--- a/tests/support/ask.hpp
+++ b/tests/support/ask.hpp
@@ -7,26 +7,26 @@
 #include <chrono>
 #include <string>
 
-/// HTTP from tests, one request at a time. Used from one thread.
+/// A blocking HTTP client for tests. Used from one thread.
 namespace redwinggw::fleet {
 
-/// What came back. Status 0: no whole answer.
+/// The response; Status is 0 without a complete one.
 struct reply {
   unsigned Status = 0;
   boost::json::object Body;
-  /// Why there is no answer.
+  /// Why there is no response.
   std::string Failure;
 };
 
 constexpr std::chrono::milliseconds AskTimeout{10'000};
 
-/// Sends a POST and waits for the answer. An answer that is no JSON object has
-/// an empty Body.
+/// Sends a POST and waits for the response. Body stays empty when the response
+/// is not a JSON object.
 reply ask(const http::address &Address, std::string Target,
           const boost::json::object &Body, std::string Authorization = {},
           std::chrono::milliseconds Timeout = AskTimeout);
 
-/// The status of a GET, 0 without an answer.
+/// The status of a GET; 0 without a response.
 unsigned statusOfGet(const http::address &Address, std::string Target);
 
 /// A caller of the fleet: its key, its service, its session.
@@ -46,15 +46,15 @@
   /// Repeats the last write with its request id.
   reply repeat(const http::address &Address);
 
-  /// Asks what became of the last write.
+  /// Asks for the outcome of the last write.
   reply outcomeOfWrite(const http::address &Address);
 
-  /// Sends \p Body with the key, the service and the session, and takes the
-  /// session of the answer.
+  /// Sends \p Body with the key, the service and the session, and keeps the
+  /// session of the response.
   reply send(const http::address &Address, std::string Target,
              boost::json::object Body);
 
-  /// Identity of the last write.
+  /// Request id of the last write.
   const std::string &requestId() const { return RequestId; }
 
 private:
@@ -65,7 +65,7 @@
   boost::json::object LastWrite;
 };
 
-/// The value of \p Name when it is a string.
+/// The value of \p Name if it is a string, else empty.
 std::string textIn(const boost::json::object &Body, std::string_view Name);
 
 /// "done", "not_run", "unknown", or "no answer".
--- a/tests/support/background_writer.cpp
+++ b/tests/support/background_writer.cpp
@@ -9,7 +9,7 @@
 namespace redwinggw::fleet {
 namespace {
 
-/// A write that is not done after so many tries is left as it is.
+/// A write that is not done after this many tries is recorded as it is.
 constexpr unsigned MaxTries = 400;
 
 } // namespace
@@ -102,7 +102,7 @@
     const bool Lost = Record.Outcome == "done" && Kept == 0;
     const bool FalseNotRun = Record.Outcome == "not_run" && Kept > 0;
     if (Lost || FalseNotRun || Kept > 1 || Record.Missed)
-      Found.push_back(std::to_string(Record.Mark) + " was told " +
+      Found.push_back(std::to_string(Record.Mark) + " was reported as " +
                       Record.Outcome + ", rows " + std::to_string(Kept) +
                       (Record.Missed ? ", missed by its session" : ""));
   }
--- a/tests/support/background_writer.hpp
+++ b/tests/support/background_writer.hpp
@@ -10,24 +10,25 @@
 #include <thread>
 #include <vector>
 
-/// Callers that write all the time while a test breaks things.
+/// Callers that write continuously while a test injects faults.
 namespace redwinggw::fleet {
 
-/// What a caller was told in the end about the write that it marked.
+/// The last outcome that a caller got for one write.
 struct write_record {
   std::int64_t Mark = 0;
   std::string Outcome;
-  /// The session read it back, through another instance, and did not find it.
+  /// Whether a read of the session, through another instance, did not find the
+  /// write.
   bool Missed = false;
 };
 
-/// One caller on a thread of its own. Each write puts one row with a mark that
-/// no other write has into table bag, which has no key on it: a write that ran
-/// twice leaves two rows. A write that is not done is repeated, through the
-/// next instance, with the same request id.
+/// One caller on its own thread. Each write inserts a row with a unique mark
+/// into table bag, which has no key on it, so that a write that ran twice
+/// leaves two rows. A write that is not done is retried through the next
+/// instance with the same request id.
 class background_writer {
 public:
-  /// Writes through \p Instances by turns with marks from \p FirstMark on.
+  /// Writes through \p Instances in rotation, with marks from \p FirstMark on.
   background_writer(caller Caller, std::vector<http::address> Instances,
                     std::int64_t FirstMark);
   background_writer(const background_writer &) = delete;
@@ -40,8 +41,8 @@
   /// Ends the thread and returns all records. Called once.
   std::vector<write_record> stop();
 
-  /// How often each kind of error was told, for the report of a failed test.
-  /// Precondition: stopped.
+  /// How often each kind of error was returned, for the report of a failed
+  /// test. Precondition: stopped.
   std::string refusals() const;
 
 private:
@@ -60,17 +61,17 @@
   std::thread Thread;
 };
 
-/// Where the callers of all instances connect.
+/// The callers' addresses of all instances.
 std::vector<http::address> callerAddresses(running_fleet &Fleet);
 
-/// Waits, with a generous bound, for \p Enough more acknowledged writes. When
-/// they do not come, stops the writer and prints why, with the logs.
+/// Waits for \p Enough more acknowledged writes, for a generous time. After it,
+/// stops the writer and prints the errors and the logs.
 bool writesContinue(running_fleet &Fleet, background_writer &Writer,
                     std::size_t Enough = 50);
 
-/// Compares what callers were told with the rows of \p Endpoint. Returns a
-/// line for each lie: lost, doubled, kept although "not run", or missed by a
-/// read of its own session.
+/// Compares the outcomes that callers got with the rows of \p Endpoint. Returns
+/// a line for each violation: a write that was lost, that ran twice, that ran
+/// although reported as "not run", or that a read of its own session missed.
 std::vector<std::string>
 consistencyViolations(running_fleet &Fleet, std::string_view Endpoint,
                       const std::vector<write_record> &Records);
--- a/tests/support/child_process.cpp
+++ b/tests/support/child_process.cpp
@@ -21,8 +21,8 @@
 constexpr int SignalBase = 128;
 constexpr mode_t LogMode = 0644;
 
-/// Guards against children that outlive a test which was killed or crashed:
-/// no destructor runs then. The kernel keeps the request over exec.
+/// Keeps children from outliving a test that was killed or crashed, in which no
+/// destructor runs. The kernel keeps this setting across exec.
 constexpr const char *Guard = "/usr/bin/setpriv";
 
 std::vector<std::string> wordsOf(const command_line &Command) {
@@ -46,8 +46,8 @@
                                    O_WRONLY | O_CREAT | O_APPEND, LogMode);
   posix_spawn_file_actions_adddup2(&Files, STDOUT_FILENO, STDERR_FILENO);
   // A child that inherits the parent's sockets keeps them open when the parent
-  // closes them: the other end waits for ever, and counts a connection that
-  // nobody has.
+  // closes them: the other end would never see the close, and would count a
+  // connection that nobody uses.
   posix_spawn_file_actions_addclosefrom_np(&Files, STDERR_FILENO + 1);
   pid_t Pid = 0;
   const int Code =
--- a/tests/support/child_process.hpp
+++ b/tests/support/child_process.hpp
@@ -11,17 +11,17 @@
 namespace redwinggw::fleet {
 
 struct command_line {
-  /// Full path.
+  /// Full path of the executable.
   std::string Program;
   std::vector<std::string> Arguments;
 };
 
-/// One child. Destroying it kills the child; when this process dies without
-/// that, the kernel kills the child.
+/// One child process. The destructor kills it; when this process dies without
+/// running the destructor, the kernel kills it.
 class child_process {
 public:
-  /// Starts \p Command with both outputs appended to the file \p Log. Throws
-  /// std::system_error when it cannot be started.
+  /// Starts \p Command with stdout and stderr appended to the file \p Log.
+  /// Throws std::system_error when it cannot be started.
   child_process(const command_line &Command, std::string Log);
   child_process(const child_process &) = delete;
   child_process &operator=(const child_process &) = delete;
@@ -30,16 +30,16 @@
   /// Sends \p Signal, unless the child has ended.
   void signal(int Signal);
 
-  /// Waits for the end: the exit code, or 128 and the signal that killed it.
-  /// Nothing when it still runs after \p Patience.
+  /// Waits for the child to end. Returns its exit code, or 128 plus the signal
+  /// that killed it; nothing when it still runs after \p Patience.
   std::optional<int> wait(std::chrono::milliseconds Patience);
 
   bool running();
 
-  /// Its process id, also after its end.
+  /// The process id, also after the child's end.
   pid_t pid() const { return Pid; }
 
-  /// What it has printed so far.
+  /// The child's output so far.
   std::string output() const;
 
 private:
@@ -48,8 +48,7 @@
   std::string Log;
 };
 
-/// Polls \p Condition until it holds; false when it does not within
-/// \p Patience.
+/// Polls \p Holds until it returns true; false after \p Patience.
 template <typename Condition>
 bool eventually(Condition Holds,
                 std::chrono::milliseconds Patience = std::chrono::seconds(30));
--- a/tests/support/fleet.cpp
+++ b/tests/support/fleet.cpp
@@ -115,7 +115,7 @@
 }
 
 void running_fleet::startEndpoints() {
-  // Replicas first: a primary finds them at once then.
+  // Replicas first, so that the primary finds them at once.
   for (const bool Primary : {false, true})
     for (const auto &Endpoint : Endpoints)
       if (Endpoint->Name.ends_with("-1") == Primary)
@@ -184,7 +184,7 @@
 }
 
 void running_fleet::waitUntilServing(const std::string &Name) {
-  // The health page turns good before the sheet has come into force.
+  // The health page reports ready before the sheet is in force.
   caller Caller(Plan.Customers.front().Key, Plan.Groups.front().Service);
   const auto Serves = [&] {
     const reply Reply = Caller.read(instance(Name).Callers, "select 1");
--- a/tests/support/fleet.hpp
+++ b/tests/support/fleet.hpp
@@ -14,17 +14,19 @@
 #include <string_view>
 #include <vector>
 
-/// A whole fleet as real processes on loopback: the platform's stand-in,
-/// endpoints, instances. Used from one thread.
+/// A whole fleet as real processes on loopback: stand-ins of the platform and
+/// the endpoints, and instances. Used from one thread.
 namespace redwinggw::fleet {
 
 struct group_plan {
   std::string Name;
-  /// The service that it serves.
+  /// The service that the group serves.
   std::string Service;
-  /// One endpoint a zone, called NAME-1, NAME-2, ...; the first is primary.
+  /// Has one endpoint for each zone, called NAME-1, NAME-2, ...; the first is
+  /// the primary.
   std::vector<std::string> Zones;
-  /// Age that session reads accept; 0 sends them to the primary.
+  /// Greatest age of the data that session reads accept; 0 sends them to the
+  /// primary.
   unsigned SessionMaxAgeMs = 60'000;
 };
 
@@ -40,7 +42,7 @@
   double Burst = 1'000;
 };
 
-/// How the endpoints behave; milliseconds, fractions allowed.
+/// Behaviour of the endpoints' stand-ins; milliseconds, fractions allowed.
 struct endpoint_plan {
   unsigned Slots = 5;
   unsigned Connections = 35;
@@ -48,7 +50,7 @@
   double WorkMs = 0.2;
   double LagMs = 50;
   double ShipLagMs = 1;
-  /// SQL script that the first primary runs at its start.
+  /// SQL script that the first primary runs when it starts.
   std::string Schema;
 };
 
@@ -58,13 +60,14 @@
   std::vector<customer_plan> Customers;
   endpoint_plan Endpoints;
   double ListLagMs = 500;
-  /// More settings of the instances, INI text: sections not written already.
+  /// Additional settings of the instances as INI text: only sections that are
+  /// not written already.
   std::string MoreSettings;
 };
 
-/// Two zones, two instances "i1" and "i2", one group "orders-db" of three for
-/// the service "orders", customers "dulciuri" and "aterro", whose keys are
-/// customerKey of their names; table bag(id, grams).
+/// Two zones; two instances "i1" and "i2"; a group "orders-db" of three
+/// endpoints for the service "orders"; customers "dulciuri" and "aterro" with
+/// the keys that customerKey returns; table bag(id, grams).
 fleet_plan smallPlan();
 std::string customerKey(std::string_view Customer);
 
@@ -84,51 +87,50 @@
   std::unique_ptr<child_process> Process;
 };
 
-/// Kills all its processes and deletes its files when it is destroyed.
+/// The destructor kills all processes and deletes the files.
 class running_fleet {
 public:
-  /// Starts nothing yet.
   explicit running_fleet(fleet_plan Plan);
   running_fleet(const running_fleet &) = delete;
   running_fleet &operator=(const running_fleet &) = delete;
   ~running_fleet();
 
-  /// Starts all, submits the sheet and waits until each instance serves.
-  /// Throws std::runtime_error with the logs when that does not come about.
+  /// Starts all processes, submits the sheet and waits until each instance
+  /// serves. Throws std::runtime_error with the logs when that fails.
   void start();
 
-  // The steps of start, for tests that stop in between.
+  // The steps of start, for tests that need only some of them.
   void startPlatform();
   void startEndpoints();
   void startInstance(const std::string &Name);
-  /// Submits the plan as a sheet made from \p BaseVersion.
+  /// Submits the plan as a sheet based on \p BaseVersion.
   void submitSheet(unsigned BaseVersion = 0);
   void waitUntilServing(const std::string &Name);
 
-  /// Starts an endpoint that has ended; it comes back empty, as a replica.
+  /// Restarts an endpoint that has ended, as an empty replica.
   void restartEndpoint(const std::string &Name);
 
-  /// Precondition: there is one of that name.
+  /// Throw std::out_of_range when there is none of that name.
   running_endpoint &endpoint(std::string_view Name);
   running_instance &instance(std::string_view Name);
 
-  /// The primary of \p Group with the highest term, null when none answers.
+  /// The primary of \p Group with the highest term; null when none answers.
   running_endpoint *primaryOf(std::string_view Group);
 
-  /// Sets a fault at an endpoint or, with Name "platform", at the platform.
-  /// Throws std::runtime_error when it refuses.
+  /// Injects a fault at an endpoint or, with the name "platform", at the
+  /// platform. Throws std::runtime_error when it is refused.
   void setFault(std::string_view Name, const boost::json::object &Fault);
 
-  /// State of an endpoint; empty when it does not answer.
+  /// The state that an endpoint reports; empty when it does not answer.
   boost::json::object stateOf(std::string_view Endpoint);
 
-  /// Rows of a read on the data of one endpoint; see /admin/dump.
+  /// Result of a query on the data of one endpoint; see /admin/dump.
   boost::json::array dump(std::string_view Endpoint, const std::string &Sql);
 
-  /// Changes the state of an instance in the platform's list.
+  /// Changes the state of an instance on the platform's list.
   void listInstance(const std::string &Name, std::string_view State);
 
-  /// Runs redwinggwctl against \p Instance and waits for its end.
+  /// Runs redwinggwctl against \p Instance and waits for it to end.
   struct tool_result {
     int ExitCode = 0;
     std::string Output;
@@ -146,7 +148,7 @@
   }
   const std::string &directory() const { return Directory; }
 
-  /// The ends of all logs, for the report of a failed test.
+  /// The last part of all logs, for the report of a failed test.
   std::string logs() const;
 
 private:
--- a/tests/support/fleet_files.cpp
+++ b/tests/support/fleet_files.cpp
@@ -10,9 +10,9 @@
 
 constexpr const char *Header = "kind,name,of,zone,address,rate,burst,slots,"
                                "connections,max_age_ms,digest\n";
-/// Age that the declared read "recent" of each service accepts.
+/// Greatest age of the data that the read "recent" of each service accepts.
 constexpr unsigned RecentMs = 5000;
-/// Enough for any rate without an exponent.
+/// Significant digits, enough to write any rate without an exponent.
 constexpr int NumberDigits = 15;
 
 } // namespace
--- a/tests/support/fleet_files.hpp
+++ b/tests/support/fleet_files.hpp
@@ -9,12 +9,12 @@
 
 namespace redwinggw::fleet {
 
-/// What the settings of all instances have in common.
+/// Settings that all instances share.
 struct shared_settings {
   http::address Platform;
   std::string KeyFile;
   std::string OperatorKeyFile;
-  /// INI text that is added.
+  /// Additional INI text.
   std::string More;
 };
 
@@ -22,7 +22,7 @@
 std::string settingsOf(const running_instance &Instance,
                        const shared_settings &Shared);
 
-/// The sheet (docs/SHEET.md) that declares \p Plan. Thread safe.
+/// The configuration sheet (docs/SHEET.md) that declares \p Plan. Thread safe.
 std::string
 sheetOf(const fleet_plan &Plan,
         const std::vector<std::unique_ptr<running_endpoint>> &Endpoints,
--- a/tests/support/free_port.hpp
+++ b/tests/support/free_port.hpp
@@ -4,9 +4,9 @@
 
 namespace redwinggw::fleet {
 
-/// A loopback address whose port is free for TCP and UDP. Ports lie below the
-/// range that the kernel gives to outgoing connections, and each process
-/// begins at another one, so that tests which run at once do not meet. Throws
+/// A loopback address whose port is free for TCP and UDP. The ports are below
+/// the kernel's ephemeral port range, and each process begins at another one,
+/// so that concurrent tests do not choose the same one. Throws
 /// std::runtime_error when none is left.
 http::address freeAddress();
 
