--- a/packages/redwinggw/src/platform_configuration.cpp
+++ b/packages/redwinggw/src/platform_configuration.cpp
@@ -132,9 +132,9 @@
   if (Holder == nullptr || !State.ForwardingClient)
     co_return;
   const session::relay_owner From{Holder->Name, Holder->Address};
-  auto Told =
+  auto Fetched =
       co_await State.ForwardingClient->askConfiguration(From, State.Stored.Row);
-  acceptConfiguration(State, std::move(Told), From.Name);
+  acceptConfiguration(State, std::move(Fetched), From.Name);
 }
 
 /// Whether another instance has a newer configuration; records since when.
--- a/packages/redwinggw/src/platform_endpoint_owners.cpp
+++ b/packages/redwinggw/src/platform_endpoint_owners.cpp
@@ -43,9 +43,9 @@
       State.Peers ? instanceCount(State.Peers->view()) : 1;
   if (isOwn(State, Entry.Name)) {
     constexpr std::size_t Whole = 100;
-    constexpr std::size_t Least = 1;
-    Limits.Connections = std::max(Least, Accepted * OwnedPercent / Whole);
-    Limits.KeptConnections = std::max(Least, Accepted * KeptPercent / Whole);
+    constexpr std::size_t Min = 1;
+    Limits.Connections = std::max(Min, Accepted * OwnedPercent / Whole);
+    Limits.KeptConnections = std::max(Min, Accepted * KeptPercent / Whole);
     Limits.MostConnections = std::max(Limits.Connections, Accepted);
     return Limits;
   }
--- a/packages/redwinggw/src/platform_fleet.cpp
+++ b/packages/redwinggw/src/platform_fleet.cpp
@@ -129,12 +129,12 @@
 /// Least interval between two reads when a heartbeat reported a change. All
 /// instances learn of a new one at about the same time; without the interval,
 /// when many start together, each would read once for each other one.
-milliseconds wantedReadInterval(const platform_instance_state &State) {
+milliseconds requestedReadInterval(const platform_instance_state &State) {
   constexpr milliseconds ForEachMember{5};
-  constexpr milliseconds Longest{1500};
+  constexpr milliseconds MaxInterval{1500};
   const std::size_t Members = State.Peers->view().Members.size();
   const auto Spread = static_cast<std::int64_t>(Members) * ForEachMember;
-  return usesRelays(State.Peers->view()) ? std::min(Longest, Spread)
+  return usesRelays(State.Peers->view()) ? std::min(MaxInterval, Spread)
                                          : milliseconds(0);
 }
 
@@ -153,32 +153,34 @@
   constexpr std::size_t FewInstances = 16;
   const std::size_t Members = State.Peers->view().Members.size();
   const auto Share = static_cast<std::int64_t>(1 + Members / FewInstances);
-  const milliseconds Heard = Share * milliseconds(3000);
-  constexpr milliseconds Unheard{400};
+  const milliseconds ContactInterval = Share * milliseconds(3000);
+  constexpr milliseconds NoContactInterval{400};
   if (State.Peers->hearsMajority(base::now()))
-    return Heard;
+    return ContactInterval;
   // A relay reports what other instances have read.
   const bool Relayed =
       usesRelays(State.Peers->view()) && hasDirectContact(State);
-  return Relayed ? std::max(Unheard, wantedReadInterval(State)) : Unheard;
+  return Relayed ? std::max(NoContactInterval, requestedReadInterval(State))
+                 : NoContactInterval;
 }
 
-/// Removes the rows of instances without heartbeats for GoneAfter: rows do not
-/// expire in the store, and dead instances would count for majorities and
+/// Removes the rows of instances without heartbeats for RemoveAfter: rows do
+/// not expire in the store, and dead instances would count for majorities and
 /// shares forever.
 base::task<void> removeDeadInstances(platform_instance_state &State) {
-  constexpr milliseconds GoneAfter{8000};
+  constexpr milliseconds RemoveAfter{8000};
   // Each instance needs two entries of a request, which may have a hundred.
-  constexpr std::size_t MostAtOnce = 40;
+  constexpr std::size_t MaxRemovals = 40;
   if (!isStoreReader(State) || !State.Peers->hearsMajority(base::now()))
     co_return;
   const base::instant Now = base::now();
   storage::commit_request Request;
   for (const control::member &Member : State.Peers->view().Members) {
     const auto Row = State.InstanceRowVersions.find(Member.Name);
-    const bool Gone = Now - Member.ArrivedAt.value_or(Member.Since) > GoneAfter;
+    const bool Gone =
+        Now - Member.ArrivedAt.value_or(Member.Since) > RemoveAfter;
     if (!Gone || Row == State.InstanceRowVersions.end() ||
-        Request.Deletes.size() == MostAtOnce)
+        Request.Deletes.size() == MaxRemovals)
       continue;
     Request.Checks.push_back({instanceKey(Member.Name), Row->second});
     Request.Deletes.push_back(instanceKey(Member.Name));
@@ -190,7 +192,7 @@
                 " dead instances.");
   const auto Removed = co_await storage::commit(State.Store, Request);
   if (Removed)
-    State.FleetReadWanted = true;
+    State.FleetReadRequested = true;
 }
 
 } // namespace
@@ -222,7 +224,7 @@
 
 base::task<std::optional<platform::table_rows>>
 readRows(platform_instance_state &State) {
-  State.FleetReadWanted = false;
+  State.FleetReadRequested = false;
   auto Rows = co_await platform::readTable(State.StoreReader,
                                            platform::OwnTable, ReadIdleTimeout);
   ++State.Store.Reads;
@@ -276,9 +278,9 @@
                                    bool Answered) {
   const base::instant Since = base::now();
   const milliseconds Pause = Answered ? fleetReadInterval(State) : RetryDelay;
-  const milliseconds Wanted = wantedReadInterval(State);
+  const milliseconds Wanted = requestedReadInterval(State);
   while (!State.Stopped && base::now() - Since < Pause &&
-         (!State.FleetReadWanted || base::now() - Since < Wanted))
+         (!State.FleetReadRequested || base::now() - Since < Wanted))
     co_await pauseWithJitter(State, UpdateCheckInterval);
 }
 
--- a/packages/redwinggw/src/platform_handover.cpp
+++ b/packages/redwinggw/src/platform_handover.cpp
@@ -312,7 +312,7 @@
     if (kindOf(Versions.error()) == base::errc::Conflict) {
       // Another orderer has claimed the service, or an earlier try of this
       // write took effect.
-      State.FleetReadWanted = true;
+      State.FleetReadRequested = true;
       co_return;
     }
     co_await pauseWithJitter(State, 10 * StepPause);
--- a/packages/redwinggw/src/platform_heartbeats.cpp
+++ b/packages/redwinggw/src/platform_heartbeats.cpp
@@ -78,8 +78,8 @@
           ++Counts[{Report.Group, Report.Primary}];
   std::vector<wire::suspicion_count> Suspicions;
   Suspicions.reserve(Counts.size());
-  for (const auto &[Place, Count] : Counts)
-    Suspicions.push_back({Place.first, Place.second, Count});
+  for (const auto &[Suspected, Count] : Counts)
+    Suspicions.push_back({Suspected.first, Suspected.second, Count});
   return Suspicions;
 }
 
@@ -162,7 +162,7 @@
   acceptReportedPositions(State, Member);
   if (Member.Report.HeadVersion > State.Claims.Version ||
       State.Peers->view().ToldOfStrangers)
-    State.FleetReadWanted = true;
+    State.FleetReadRequested = true;
 }
 
 } // namespace
@@ -184,7 +184,7 @@
       [&State](const control::member &, const wire::store_reading &Reading) {
         acceptSharedRead(State, Reading);
       });
-  State.Peers->onStranger([&State] { State.FleetReadWanted = true; });
+  State.Peers->onStranger([&State] { State.FleetReadRequested = true; });
 }
 
 bool isStoreReader(const platform_instance_state &State) {
@@ -232,10 +232,11 @@
   for (const control::member &Member : State.Peers->view().Members) {
     if (!isUp(Member) || Member.Zone == State.Settings.Zone)
       continue;
-    for (const wire::suspicion_count &Told : Member.Report.Digest.Suspicions)
-      if (Told.Group == Service && Told.Primary == Primary)
+    for (const wire::suspicion_count &Reported :
+         Member.Report.Digest.Suspicions)
+      if (Reported.Group == Service && Reported.Primary == Primary)
         Zones[Member.Zone] =
-            std::max<std::size_t>(Zones[Member.Zone], Told.Count);
+            std::max<std::size_t>(Zones[Member.Zone], Reported.Count);
   }
   std::size_t Count = 0;
   for (const auto &[Zone, Most] : Zones)
--- a/packages/redwinggw/src/platform_instance_state.hpp
+++ b/packages/redwinggw/src/platform_instance_state.hpp
@@ -102,7 +102,7 @@
   control::currency Freshness = control::currency::Isolated;
   /// Whether the last request to the store was answered.
   bool StoreUp = true;
-  bool FleetReadWanted = false;
+  bool FleetReadRequested = false;
   kernel::life_cycle Life;
   std::mt19937_64 Random;
   bool Listening = false;
--- a/packages/redwinggw/src/platform_primaries.cpp
+++ b/packages/redwinggw/src/platform_primaries.cpp
@@ -74,8 +74,8 @@
   constexpr milliseconds Stuck = 2 * ExpectedMoveTime;
   if (Elapsed > Stuck)
     return std::nullopt;
-  constexpr milliseconds Least{100};
-  return std::max(Least, ExpectedMoveTime - Elapsed);
+  constexpr milliseconds Min{100};
+  return std::max(Min, ExpectedMoveTime - Elapsed);
 }
 
 bool acceptClaim(platform_instance_state &State,
--- a/packages/redwinggw/src/settings.cpp
+++ b/packages/redwinggw/src/settings.cpp
@@ -45,12 +45,12 @@
 using setter = bool (*)(settings &, const std::string &);
 
 bool setName(std::string &Field, const std::string &Text) {
-  constexpr std::size_t Longest = 64;
+  constexpr std::size_t MaxLength = 64;
   const bool Plain = std::ranges::all_of(Text, [](unsigned char Character) {
     return std::isalnum(Character) != 0 || Character == '-' ||
            Character == '_' || Character == '.';
   });
-  if (Text.empty() || Text.size() > Longest || !Plain)
+  if (Text.empty() || Text.size() > MaxLength || !Plain)
     return false;
   Field = Text;
   return true;
@@ -65,11 +65,11 @@
 }
 
 bool setMilliseconds(base::milliseconds &Field, const std::string &Text,
-                     std::int64_t Least, std::int64_t Most) {
+                     std::int64_t Min, std::int64_t Max) {
   std::int64_t Value = 0;
   const char *Last = Text.data() + Text.size();
   const auto [End, Code] = std::from_chars(Text.data(), Last, Value);
-  if (Code != std::errc() || End != Last || Value < Least || Value > Most)
+  if (Code != std::errc() || End != Last || Value < Min || Value > Max)
     return false;
   Field = base::milliseconds(Value);
   return true;
@@ -79,9 +79,9 @@
   double Value = 0;
   const char *Last = Text.data() + Text.size();
   const auto [End, Code] = std::from_chars(Text.data(), Last, Value);
-  constexpr double Most = 1e6;
+  constexpr double Max = 1e6;
   // Written so that NaN is refused too.
-  if (Code != std::errc() || End != Last || !(Value >= 0 && Value <= Most))
+  if (Code != std::errc() || End != Last || !(Value >= 0 && Value <= Max))
     return false;
   Field = Value;
   return true;
@@ -221,7 +221,7 @@
   std::string Key;
   std::string Value;
   /// "file:line", or "option".
-  std::string Place;
+  std::string Location;
 };
 
 struct parse_state {
@@ -229,8 +229,9 @@
   std::vector<std::string> Faults;
 };
 
-std::string notASetting(const std::string &Place, const std::string &Line) {
-  return Place + ": '" + Line + "' is neither [section] nor key = value";
+std::string malformedLine(const std::string &Location,
+                          const std::string &Line) {
+  return Location + ": '" + Line + "' is neither [section] nor key = value";
 }
 
 /// Splits the file into assignments. Boost.Program_options parses the same
@@ -241,7 +242,7 @@
   std::string Section;
   std::string Line;
   for (int Number = 1; std::getline(Stream, Line); ++Number) {
-    const std::string Place = Name + ":" + std::to_string(Number);
+    const std::string Location = Name + ":" + std::to_string(Number);
     boost::algorithm::trim(Line);
     if (Line.empty() || Line.front() == '#' || Line.front() == ';')
       continue;
@@ -251,7 +252,7 @@
     }
     const std::size_t Equals = Line.find('=');
     if (Equals == std::string::npos) {
-      State.Faults.push_back(notASetting(Place, Line));
+      State.Faults.push_back(malformedLine(Location, Line));
       continue;
     }
     std::string Key = Section;
@@ -259,7 +260,7 @@
     std::string Value = Line.substr(Equals + 1);
     boost::algorithm::trim(Key);
     boost::algorithm::trim(Value);
-    State.Assignments.push_back({Key, Value, Place});
+    State.Assignments.push_back({Key, Value, Location});
   }
 }
 
@@ -268,17 +269,17 @@
   const auto *Row =
       std::ranges::find(Keys, std::string_view(Assignment.Key), &key_row::Key);
   if (Row == Keys.end()) {
-    State.Faults.push_back(Assignment.Place + ": unknown key '" +
+    State.Faults.push_back(Assignment.Location + ": unknown key '" +
                            Assignment.Key +
                            "'; redwinggw --help lists the keys");
     return;
   }
   const bool Repeated = !Given.insert(Row->Key).second;
-  if (Repeated && Assignment.Place != "option")
-    State.Faults.push_back(Assignment.Place + ": key '" + Assignment.Key +
+  if (Repeated && Assignment.Location != "option")
+    State.Faults.push_back(Assignment.Location + ": key '" + Assignment.Key +
                            "' is given twice; keep one");
   if (!Row->Set(Settings, Assignment.Value))
-    State.Faults.push_back(Assignment.Place + ": '" + Assignment.Value +
+    State.Faults.push_back(Assignment.Location + ": '" + Assignment.Value +
                            "' is not allowed for '" + Assignment.Key +
                            "'; allowed: " + std::string(Row->Allowed));
 }
--- a/packages/redwinggw/src/wiring.cpp
+++ b/packages/redwinggw/src/wiring.cpp
@@ -65,9 +65,9 @@
     State.Groups.noteTraffic(Group, Endpoint, Answered, At);
   };
   Ports.NoteState = [&State](std::string_view Group,
-                             const data::endpoint_state &Told,
+                             const data::endpoint_state &Reported,
                              base::instant AskedAt) {
-    State.Groups.noteState(Group, Told, AskedAt);
+    State.Groups.noteState(Group, Reported, AskedAt);
   };
   Ports.Record = [&State](base::event_kind Kind, std::string_view Subject,
                           std::string_view Detail, std::string_view RequestId) {
--- a/tests/native/native_path_test.cpp
+++ b/tests/native/native_path_test.cpp
@@ -215,7 +215,7 @@
   }));
 }
 
-// Endpoints are told the customer of a statement, and never its key.
+// Endpoints receive the customer of a statement, and never its key.
 Test(native_path, shows_endpoints_customers_and_no_keys) {
   native_fleet Fleet(1);
   cr_assert(writeEventually(Fleet.Instances[0], "a", "1"));
--- a/tests/process/whole_path_test.cpp
+++ b/tests/process/whole_path_test.cpp
@@ -41,9 +41,9 @@
 Test(whole_path, a_key_that_nobody_gave_is_refused_before_anything_runs) {
   running_fleet Fleet(smallPlan());
   Fleet.start();
-  caller Stranger("a key that nobody gave", "orders");
-  const reply Refused = Stranger.write(callersOf(Fleet, "i1"),
-                                       "insert into bag(grams) values(1)");
+  caller UnknownCaller("a key that nobody gave", "orders");
+  const reply Refused = UnknownCaller.write(callersOf(Fleet, "i1"),
+                                            "insert into bag(grams) values(1)");
   cr_assert(Refused.Status == 401);
   cr_assert(outcomeOf(Refused) == "not_run");
   cr_assert(Fleet.dump("orders-db-1", "select * from bag").empty());
