--- a/packages/redwinggw/src/platform_endpoints.cpp
+++ b/packages/redwinggw/src/platform_endpoints.cpp
@@ -19,7 +19,7 @@
 constexpr milliseconds EndpointReadInterval{1000};
 /// How long a list from the store reader is used before this instance reads the
 /// store itself.
-constexpr milliseconds RelayedListValidFor{1700};
+constexpr milliseconds SharedListValidFor{1700};
 /// How often an unchanged list is sent in full. An instance that lost the
 /// datagram with a change reads the store itself long before that.
 constexpr milliseconds FullListInterval{5000};
@@ -108,9 +108,9 @@
 
 base::task<void> followEndpoints(platform_instance_ptr State) {
   while (!State->Stopped) {
-    const bool Relayed = base::now() - State->EndpointListAt.value_or(LongAgo) <
-                         RelayedListValidFor;
-    if (Relayed && hasStoreReader(*State)) {
+    const bool Recent = base::now() - State->EndpointListAt.value_or(LongAgo) <
+                        SharedListValidFor;
+    if (Recent && hasStoreReader(*State)) {
       co_await pauseWithJitter(*State, UpdateCheckInterval);
       continue;
     }
