--- a/packages/redwinggw/src/instance.cpp
+++ b/packages/redwinggw/src/instance.cpp
@@ -30,7 +30,7 @@
 }
 
 /// Divides the endpoints' connections anew when the number of instances on the
-/// platform's list changes.
+/// platform's list changes: with more instances each opens fewer.
 void shareConnections(instance_state &State) {
   const std::size_t Instances = instanceCount(State.Peers.view());
   if (Instances == State.SharedAmong)
