--- a/packages/base/include/redwinggw/base/hybrid_clock.hpp
+++ b/packages/base/include/redwinggw/base/hybrid_clock.hpp
@@ -37,7 +37,7 @@
   hybrid_time Time;
   /// False when the sender's clock was too far ahead and was left out, so
   /// that Time is not ordered after the sender's.
-  bool PeerBelieved = true;
+  bool PeerAccepted = true;
 };
 
 /// The time of the receipt of a message sent at \p Received; greater than each
--- a/packages/base/include/redwinggw/base/socket_options.hpp
+++ b/packages/base/include/redwinggw/base/socket_options.hpp
@@ -7,7 +7,7 @@
 /// probes end the connection: something between the two ends may have lost
 /// track of it without a reset, and it would stay silent for good.
 /// \p NativeHandle is that of an open socket. Thread safe.
-void detectSilence(int NativeHandle);
+void detectDeadPeer(int NativeHandle);
 
 /// Whether the other end of a TCP connection has neither closed it nor sent
 /// anything that is unread. \p NativeHandle is that of an open socket. Thread
--- a/packages/base/src/digest.cpp
+++ b/packages/base/src/digest.cpp
@@ -27,7 +27,7 @@
   return Text;
 }
 
-std::string digestOf(std::string_view Data) {
+std::string sha256Hex(std::string_view Data) {
   std::array<unsigned char, EVP_MAX_MD_SIZE> Out{};
   unsigned Size = 0;
   EVP_Digest(Data.data(), Data.size(), Out.data(), &Size, EVP_sha256(),
@@ -35,7 +35,7 @@
   return toHex({reinterpret_cast<const char *>(Out.data()), Size});
 }
 
-std::string keyedDigest(std::string_view Key, std::string_view Data) {
+std::string hmacSha256(std::string_view Key, std::string_view Data) {
   std::array<unsigned char, EVP_MAX_MD_SIZE> Out{};
   unsigned Size = 0;
   HMAC(EVP_sha256(), Key.data(), static_cast<int>(Key.size()), bytesOf(Data),
--- a/packages/base/src/socket_options.cpp
+++ b/packages/base/src/socket_options.cpp
@@ -23,7 +23,7 @@
 
 } // namespace
 
-void detectSilence(int NativeHandle) {
+void detectDeadPeer(int NativeHandle) {
   setOption(NativeHandle, IPPROTO_TCP, TCP_NODELAY, 1);
   setOption(NativeHandle, IPPROTO_TCP, TCP_USER_TIMEOUT, UnacknowledgedMs);
   setOption(NativeHandle, SOL_SOCKET, SO_KEEPALIVE, 1);
--- a/packages/control/src/config_rows.cpp
+++ b/packages/control/src/config_rows.cpp
@@ -72,7 +72,7 @@
   });
   if (!Sheet)
     return Sheet.error();
-  if (base::digestOf(Sheet->Text) != Sheet->Digest)
+  if (base::sha256Hex(Sheet->Text) != Sheet->Digest)
     return failure(errc::BadMessage, "row " + Row.Key + ": digest differs");
   return std::optional(std::move(*Sheet));
 }
--- a/packages/control/src/config_submission.cpp
+++ b/packages/control/src/config_submission.cpp
@@ -43,7 +43,7 @@
   Sheet.Version = State.Head.Version + 1;
   Sheet.Submission = Submission;
   Sheet.Text = renderSheet(Configuration);
-  Sheet.Digest = base::digestOf(Sheet.Text);
+  Sheet.Digest = base::sha256Hex(Sheet.Text);
   Sheet.AcceptedAt = WallNow;
   const config_head Head{Sheet.Version, Submission, 0};
   Commit.Request.Checks.push_back({HeadKey, State.Head.RowVersion});
@@ -84,7 +84,7 @@
   // and would be told that somebody else's change came first: only the version
   // after MadeFrom can hold this sheet, and its digest covers all of it.
   const accepted_sheet *Next = sheetAt(State, MadeFrom + 1);
-  const std::string Digest = base::digestOf(renderSheet(Submitted));
+  const std::string Digest = base::sha256Hex(renderSheet(Submitted));
   if (Next != nullptr && Next->Digest == Digest)
     return config_accepted{Next->Version, true};
   return conflict(State, Submitted);
--- a/packages/control/src/configuration.cpp
+++ b/packages/control/src/configuration.cpp
@@ -60,7 +60,7 @@
 
 const customer_key *findKey(const configuration &Configuration,
                             std::string_view FleetKey, std::string_view Key) {
-  const std::string Digest = base::toHex(base::keyedDigest(FleetKey, Key));
+  const std::string Digest = base::toHex(base::hmacSha256(FleetKey, Key));
   const std::vector<customer_key> &Keys = Configuration.Keys;
   const std::vector<std::uint32_t> &Index = Configuration.KeysByDigest;
   if (Index.size() != Keys.size())
--- a/packages/control/src/configuration_service.cpp
+++ b/packages/control/src/configuration_service.cpp
@@ -95,9 +95,8 @@
   Given.Id = "key-" + base::randomId().substr(0, KeyIdDigits);
   Given.Key = base::randomId() + base::randomId();
   key_gift Gift;
-  Gift.Key = {
-      Given.Id, Customer,
-      base::toHex(base::keyedDigest(Self->Options.FleetKey, Given.Key))};
+  Gift.Key = {Given.Id, Customer,
+              base::toHex(base::hmacSha256(Self->Options.FleetKey, Given.Key))};
   config_request Request = std::move(Gift);
   const auto Submitted = co_await Self->change(std::move(Request));
   if (Submitted) {
--- a/packages/data/src/request_record.cpp
+++ b/packages/data/src/request_record.cpp
@@ -37,7 +37,7 @@
   std::string All;
   for (const std::string &Part : Parts)
     All.append(std::to_string(Part.size())).append(":").append(Part);
-  return base::digestOf(All);
+  return base::sha256Hex(All);
 }
 
 statement createRecords() {
--- a/packages/data/src/session_token.cpp
+++ b/packages/data/src/session_token.cpp
@@ -25,7 +25,7 @@
                         std::string_view Payload) {
   std::string Signed = "session\n";
   Signed.append(Customer).append("\n").append(Payload);
-  return base::keyedDigest(FleetKey, Signed).substr(0, SignatureBytes);
+  return base::hmacSha256(FleetKey, Signed).substr(0, SignatureBytes);
 }
 
 std::optional<std::string> fromHex(std::string_view Text) {
--- a/packages/kernel/include/redwinggw/kernel/registry.hpp
+++ b/packages/kernel/include/redwinggw/kernel/registry.hpp
@@ -17,7 +17,7 @@
 struct service {
   std::string Name;
   /// Names of services that must be started before this one.
-  std::vector<std::string> Needs;
+  std::vector<std::string> Dependencies;
   /// Starts work. Called once.
   std::function<void()> Start;
   /// Begins to drain; must not block. Called at most once.
--- a/packages/kernel/src/registry.cpp
+++ b/packages/kernel/src/registry.cpp
@@ -26,8 +26,8 @@
     return failure(errc::NotFound, "service " + Name);
   if (!Ordering.Visiting.insert(Name).second)
     return failure(errc::Conflict, "services need each other: " + Name);
-  for (const std::string &Need : Found->second.Needs)
-    if (auto Visited = visit(Ordering, Need); !Visited)
+  for (const std::string &Dependency : Found->second.Dependencies)
+    if (auto Visited = visit(Ordering, Dependency); !Visited)
       return Visited;
   Ordering.Order.push_back(Name);
   return {};
--- a/packages/redwinggw/src/wiring.cpp
+++ b/packages/redwinggw/src/wiring.cpp
@@ -12,12 +12,13 @@
 
 /// A service of the registry; throws what \p Start reports as a failure.
 template <typename Object>
-kernel::service makeService(std::string Name, std::vector<std::string> Needs,
+kernel::service makeService(std::string Name,
+                            std::vector<std::string> Dependencies,
                             Object &Served, std::function<void()> Start,
                             std::function<void()> Drain) {
   kernel::service Service;
   Service.Name = std::move(Name);
-  Service.Needs = std::move(Needs);
+  Service.Dependencies = std::move(Dependencies);
   Service.Start = std::move(Start);
   Service.Drain = std::move(Drain);
   Service.Object = &Served;
--- a/packages/session/src/frame_stream.cpp
+++ b/packages/session/src/frame_stream.cpp
@@ -37,7 +37,7 @@
 
 frame_stream::frame_stream(asio::ip::tcp::socket Given)
     : Socket(std::move(Given)) {
-  base::detectSilence(Socket.native_handle());
+  base::detectDeadPeer(Socket.native_handle());
 }
 
 /// Reads until \p Bytes are there.
--- a/packages/wire/src/signature.cpp
+++ b/packages/wire/src/signature.cpp
@@ -10,7 +10,7 @@
 constexpr std::size_t DigestBytes = 16;
 
 std::string digest(std::string_view FleetKey, std::string_view Payload) {
-  return base::keyedDigest(FleetKey, Payload).substr(0, DigestBytes);
+  return base::hmacSha256(FleetKey, Payload).substr(0, DigestBytes);
 }
 
 } // namespace
--- a/tests/base/hybrid_clock_test.cpp
+++ b/tests/base/hybrid_clock_test.cpp
@@ -21,7 +21,7 @@
   hybrid_clock Receiver;
   const hybrid_time Sent = tick(Sender, 1400);
   const merged_time Received = merge(Receiver, Sent, 1000);
-  cr_assert(Received.PeerBelieved);
+  cr_assert(Received.PeerAccepted);
   cr_assert(Sent < Received.Time);
   cr_assert(Received.Time < tick(Receiver, 1000));
 }
@@ -34,7 +34,7 @@
     hybrid_clock Clock;
     tick(Clock, 5000);
     const merged_time Merged = merge(Clock, {5000 + Drift, 0}, 5000);
-    cr_assert(Merged.PeerBelieved == Believed);
+    cr_assert(Merged.PeerAccepted == Believed);
     cr_assert((Merged.Time.Wall == 5000) == !Believed);
     cr_assert((hybrid_time{5000, 0} < Merged.Time));
   }
--- a/tests/base/registry_test.cpp
+++ b/tests/base/registry_test.cpp
@@ -6,11 +6,12 @@
 
 namespace {
 
-kernel::service recorded(std::string Name, std::vector<std::string> Needs,
+kernel::service recorded(std::string Name,
+                         std::vector<std::string> Dependencies,
                          std::vector<std::string> &Events) {
   kernel::service Service;
   Service.Name = Name;
-  Service.Needs = std::move(Needs);
+  Service.Dependencies = std::move(Dependencies);
   Service.Start = [&Events, Name] { Events.push_back("+" + Name); };
   Service.Drain = [&Events, Name] { Events.push_back("-" + Name); };
   return Service;
--- a/tests/bench/config_bench.cpp
+++ b/tests/bench/config_bench.cpp
@@ -35,7 +35,7 @@
   for (std::size_t Index = 0; Index < Customers; ++Index) {
     const std::string Name = "customer-" + std::to_string(Index);
     const std::string Digest =
-        base::toHex(base::keyedDigest(FleetKey, keyOf(Index)));
+        base::toHex(base::hmacSha256(FleetKey, keyOf(Index)));
     Configuration.Customers.push_back({Name, 100, 50});
     Configuration.Keys.push_back(
         {"key-" + std::to_string(Index), Name, Digest});
--- a/tests/control/config_in_force_test.cpp
+++ b/tests/control/config_in_force_test.cpp
@@ -20,7 +20,7 @@
   Configuration.Customers.push_back({"a", 1, 1});
   for (const std::string &Key : Keys)
     Configuration.Keys.push_back(
-        {Key, "a", base::toHex(base::keyedDigest(FleetKey, Key))});
+        {Key, "a", base::toHex(base::hmacSha256(FleetKey, Key))});
   return Configuration;
 }
 
--- a/tests/native/native_fleet.hpp
+++ b/tests/native/native_fleet.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "child_process.hpp"
-#include "native/world.hpp"
+#include "native/simulated_platform.hpp"
 
 #include <memory>
 #include <string>
@@ -28,7 +28,7 @@
 
   void start(native_process &Instance);
 
-  standin::native_world World;
+  standin::simulated_platform World;
   std::string Directory;
   std::vector<native_process> Instances;
 };
--- a/tests/native/native_path_test.cpp
+++ b/tests/native/native_path_test.cpp
@@ -8,7 +8,7 @@
 
 using namespace redwinggw;
 using namespace redwinggw::fleet;
-using standin::native_world;
+using standin::simulated_platform;
 
 namespace {
 
@@ -74,7 +74,8 @@
   line_client Second(Fleet.Instances[1].Callers, "strict", "key");
   cr_assert(First.run("READ a").Error.empty());
   cr_assert(Second.run("READ a").Error.empty());
-  Fleet.World.with([](native_world &World) { World.configure({"other"}); });
+  Fleet.World.runOnThread(
+      [](simulated_platform &World) { World.configure({"other"}); });
   cr_assert(eventually([&] { return First.run("READ a").Error == "DENIED"; }));
   cr_assert(eventually([&] { return Second.run("READ a").Error == "DENIED"; }));
 }
@@ -85,8 +86,8 @@
   native_fleet Fleet(3);
   line_client Caller(Fleet.Instances[2].Callers, "strict", "key");
   cr_assert(Caller.run("READ a").Error.empty());
-  Fleet.World.with([](native_world &World) {
-    World.SecondWayDown = true;
+  Fleet.World.runOnThread([](simulated_platform &World) {
+    World.SecondStoreDown = true;
     World.configure({"other"});
   });
   cr_assert(eventually([&] { return Caller.run("READ a").Error == "DENIED"; }));
@@ -97,10 +98,11 @@
 Test(native_path, leaves_an_unanswered_write_in_doubt) {
   native_fleet Fleet(1);
   line_client Caller(Fleet.Instances[0].Callers, "strict", "key");
-  Fleet.World.with(
-      [](native_world &World) { World.Group.Databases[0].LoseAnswers = 1; });
+  Fleet.World.runOnThread([](simulated_platform &World) {
+    World.Group.Databases[0].LoseAnswers = 1;
+  });
   cr_assert(Caller.run("WRITE pay 5").Error == "INDOUBT");
-  Fleet.World.with([](native_world &World) {
+  Fleet.World.runOnThread([](simulated_platform &World) {
     unsigned Runs = 0;
     for (const auto &[Id, Count] : World.Group.Runs)
       Runs += Count;
@@ -123,8 +125,9 @@
   cr_assert(writeEventually(Fleet.Instances[1], "c", "after"));
   line_client Caller(Fleet.Instances[2].Callers, "strict", "key");
   cr_assert(Caller.run("READ a").Rows == std::vector<std::string>{"before"});
-  Fleet.World.with(
-      [](native_world &World) { cr_assert(World.Promotions.size() == 1); });
+  Fleet.World.runOnThread([](simulated_platform &World) {
+    cr_assert(World.Promotions.size() == 1);
+  });
 }
 
 // The primary announces that it leaves: it is replaced before it goes, and
@@ -135,7 +138,7 @@
   Fleet.World.drain("d1");
   cr_assert(eventually([&] {
     bool Moved = false;
-    Fleet.World.with([&](native_world &World) {
+    Fleet.World.runOnThread([&](simulated_platform &World) {
       Moved = !World.Group.Databases[0].Primary;
     });
     return Moved;
@@ -149,7 +152,8 @@
 Test(native_path, goes_on_while_the_store_is_down) {
   native_fleet Fleet(2);
   cr_assert(writeEventually(Fleet.Instances[0], "a", "1"));
-  Fleet.World.with([](native_world &World) { World.Store.Down = true; });
+  Fleet.World.runOnThread(
+      [](simulated_platform &World) { World.Store.Down = true; });
   std::this_thread::sleep_for(std::chrono::milliseconds(3000));
   line_client Caller(Fleet.Instances[1].Callers, "own", "key");
   const line_answer Written = Caller.run("WRITE a 2");
@@ -170,7 +174,7 @@
   cr_assert(eventually([&] { return !isReady(Leaving); }));
   cr_assert(Caller.run("COMMIT").Error.empty());
   cr_assert(Leaving.Process->wait(std::chrono::seconds(30)) == 0);
-  Fleet.World.with([](native_world &World) {
+  Fleet.World.runOnThread([](simulated_platform &World) {
     cr_assert(World.Store.value("redwinggw", "instance/i1").empty());
     cr_assert(!World.Store.value("redwinggw", "instance/i2").empty());
   });
@@ -219,7 +223,7 @@
 Test(native_path, shows_endpoints_customers_and_no_keys) {
   native_fleet Fleet(1);
   cr_assert(writeEventually(Fleet.Instances[0], "a", "1"));
-  Fleet.World.with([](native_world &World) {
+  Fleet.World.runOnThread([](simulated_platform &World) {
     cr_assert(World.Group.Customers.contains("acme"));
     cr_assert(!World.Group.Customers.contains("key"));
   });
--- a/tests/standins/common/slow_way.cpp
+++ b/tests/standins/common/throttled_proxy.cpp
@@ -1,4 +1,4 @@
-#include "common/slow_way.hpp"
+#include "common/throttled_proxy.hpp"
 
 #include "redwinggw/http/listen.hpp"
 
@@ -22,7 +22,7 @@
 constexpr std::size_t ChunkBytes = std::size_t{16} * 1024;
 
 /// Both ends of one connection.
-struct passage {
+struct proxied_connection {
   tcp::socket Client;
   tcp::socket Server;
 
@@ -35,13 +35,14 @@
 
 } // namespace
 
-struct slow_way::state : std::enable_shared_from_this<state> {
+struct throttled_proxy::state : std::enable_shared_from_this<state> {
   state(asio::any_io_executor Executor, http::address Server)
       : Executor(Executor), Server(std::move(Server)), Acceptor(Executor) {}
 
-  base::task<void> pass(std::shared_ptr<passage> Passage);
-  base::task<void> copy(std::shared_ptr<passage> Passage, bool ToClient);
-  base::task<void> hold(std::size_t Bytes);
+  base::task<void> forward(std::shared_ptr<proxied_connection> Connection);
+  base::task<void> copy(std::shared_ptr<proxied_connection> Connection,
+                        bool ToClient);
+  base::task<void> throttle(std::size_t Bytes);
 
   asio::any_io_executor Executor;
   http::address Server;
@@ -51,7 +52,7 @@
 };
 
 /// Waits for as long as the link is busy with \p Bytes.
-base::task<void> slow_way::state::hold(std::size_t Bytes) {
+base::task<void> throttled_proxy::state::throttle(std::size_t Bytes) {
   if (BytesPerSecond == 0)
     co_return;
   constexpr std::size_t MicrosecondsPerSecond = 1'000'000;
@@ -61,11 +62,12 @@
   co_await Timer.async_wait(Token);
 }
 
-base::task<void> slow_way::state::copy(std::shared_ptr<passage> Passage,
-                                       bool ToClient) {
+base::task<void>
+throttled_proxy::state::copy(std::shared_ptr<proxied_connection> Connection,
+                             bool ToClient) {
   const auto Self = shared_from_this();
-  tcp::socket &From = ToClient ? Passage->Server : Passage->Client;
-  tcp::socket &To = ToClient ? Passage->Client : Passage->Server;
+  tcp::socket &From = ToClient ? Connection->Server : Connection->Client;
+  tcp::socket &To = ToClient ? Connection->Client : Connection->Server;
   std::array<char, ChunkBytes> Chunk{};
   while (true) {
     const auto [ReadError, Size] =
@@ -73,48 +75,50 @@
     if (ReadError)
       break;
     if (ToClient)
-      co_await hold(Size);
+      co_await throttle(Size);
     const auto [WriteError, Sent] =
         co_await asio::async_write(To, asio::buffer(Chunk.data(), Size), Token);
     if (WriteError)
       break;
   }
-  Passage->close();
+  Connection->close();
 }
 
-base::task<void> slow_way::state::pass(std::shared_ptr<passage> Passage) {
+base::task<void> throttled_proxy::state::forward(
+    std::shared_ptr<proxied_connection> Connection) {
   const auto Self = shared_from_this();
   const tcp::endpoint To(asio::ip::make_address(Server.Host), Server.Port);
-  const auto [Error] = co_await Passage->Server.async_connect(To, Token);
+  const auto [Error] = co_await Connection->Server.async_connect(To, Token);
   if (Error) {
-    Passage->close();
+    Connection->close();
     co_return;
   }
-  asio::co_spawn(Executor, copy(Passage, true), asio::detached);
-  co_await copy(Passage, false);
+  asio::co_spawn(Executor, copy(Connection, true), asio::detached);
+  co_await copy(Connection, false);
 }
 
-slow_way::slow_way(asio::any_io_executor Executor, http::address Server)
+throttled_proxy::throttled_proxy(asio::any_io_executor Executor,
+                                 http::address Server)
     : State(std::make_shared<state>(std::move(Executor), std::move(Server))) {
   State->Address = http::listenAt(State->Acceptor, {"127.0.0.1", 0}).value();
   const auto Take = [Self = State](tcp::socket Client) {
-    const auto Passage = std::make_shared<passage>(
-        passage{std::move(Client), tcp::socket(Self->Executor)});
-    asio::co_spawn(Self->Executor, Self->pass(Passage), asio::detached);
+    const auto Connection = std::make_shared<proxied_connection>(
+        proxied_connection{std::move(Client), tcp::socket(Self->Executor)});
+    asio::co_spawn(Self->Executor, Self->forward(Connection), asio::detached);
   };
   asio::co_spawn(State->Executor,
                  http::acceptConnections(State->Acceptor, Take),
                  asio::detached);
 }
 
-slow_way::~slow_way() {
+throttled_proxy::~throttled_proxy() {
   boost::system::error_code Ignored;
   State->Acceptor.close(Ignored);
 }
 
-const http::address &slow_way::address() const { return State->Address; }
+const http::address &throttled_proxy::address() const { return State->Address; }
 
-void slow_way::setSpeed(std::size_t BytesPerSecond) {
+void throttled_proxy::setSpeed(std::size_t BytesPerSecond) {
   State->BytesPerSecond = BytesPerSecond;
 }
 
--- a/tests/standins/common/slow_way.hpp
+++ b/tests/standins/common/throttled_proxy.hpp
@@ -11,13 +11,13 @@
 
 /// A way to a server over a link whose speed can be limited. Used from one
 /// thread.
-class slow_way {
+class throttled_proxy {
 public:
   /// Passes connections on to \p Server.
-  slow_way(boost::asio::any_io_executor Executor, http::address Server);
-  slow_way(const slow_way &) = delete;
-  slow_way &operator=(const slow_way &) = delete;
-  ~slow_way();
+  throttled_proxy(boost::asio::any_io_executor Executor, http::address Server);
+  throttled_proxy(const throttled_proxy &) = delete;
+  throttled_proxy &operator=(const throttled_proxy &) = delete;
+  ~throttled_proxy();
 
   /// Where it listens: a free port of the loopback address.
   const http::address &address() const;
--- a/tests/standins/native/database_group.cpp
+++ b/tests/standins/native/database_group.cpp
@@ -5,9 +5,9 @@
 
 namespace redwinggw::standin {
 
-native_database *findDatabase(database_group &Group, std::string_view Name) {
+simulated_database *findDatabase(database_group &Group, std::string_view Name) {
   const auto Found =
-      std::ranges::find(Group.Databases, Name, &native_database::Name);
+      std::ranges::find(Group.Databases, Name, &simulated_database::Name);
   return Found == Group.Databases.end() ? nullptr : &*Found;
 }
 
@@ -16,18 +16,18 @@
     return Now - Entry.CommittedAt < Group.Lag;
   });
   const auto Applied = static_cast<std::size_t>(Old - Group.Log.begin());
-  for (native_database &Database : Group.Databases)
+  for (simulated_database &Database : Group.Databases)
     Database.Received = Database.Primary ? Group.Log.size()
                                          : std::max(Database.Received, Applied);
 }
 
 session::log_point pointOf(const database_group &Group,
-                           const native_database &Database) {
+                           const simulated_database &Database) {
   return {Group.Term, Database.Received};
 }
 
 std::string valueAt(const database_group &Group,
-                    const native_database &Database, std::string_view Item) {
+                    const simulated_database &Database, std::string_view Item) {
   const auto Seen = Group.Log | std::views::take(Database.Received);
   std::string Value = "none";
   for (const log_entry &Entry : Seen)
@@ -37,13 +37,13 @@
 }
 
 bool promote(database_group &Group, std::string_view Name) {
-  native_database *Next = findDatabase(Group, Name);
+  simulated_database *Next = findDatabase(Group, Name);
   if (Next == nullptr || Next->Down)
     return false;
   if (Next->Primary)
     return true;
   Group.Log.resize(Next->Received);
-  for (native_database &Database : Group.Databases) {
+  for (simulated_database &Database : Group.Databases) {
     Database.Primary = &Database == Next;
     Database.Received = std::min(Database.Received, Group.Log.size());
   }
--- a/tests/standins/native/database_group.hpp
+++ b/tests/standins/native/database_group.hpp
@@ -22,7 +22,7 @@
   std::string StatementId;
 };
 
-struct native_database {
+struct simulated_database {
   std::string Name;
   bool Primary = false;
   bool Draining = false;
@@ -39,7 +39,7 @@
 struct database_group {
   std::string Service;
   std::string Zone = "z1";
-  std::vector<native_database> Databases;
+  std::vector<simulated_database> Databases;
   std::vector<log_entry> Log;
   base::term_number Term = 1;
   /// How long replicas trail.
@@ -50,17 +50,17 @@
   std::set<std::string> Customers;
 };
 
-native_database *findDatabase(database_group &Group, std::string_view Name);
+simulated_database *findDatabase(database_group &Group, std::string_view Name);
 
 /// Lets replicas receive what is old enough.
 void replicate(database_group &Group, base::instant Now);
 
 session::log_point pointOf(const database_group &Group,
-                           const native_database &Database);
+                           const simulated_database &Database);
 
 /// The value of \p Item as \p Database sees it.
 std::string valueAt(const database_group &Group,
-                    const native_database &Database, std::string_view Item);
+                    const simulated_database &Database, std::string_view Item);
 
 /// Makes \p Name the primary of the next term; entries that it lacks are lost.
 /// False when it is not known or down.
--- a/tests/standins/native/database_server.cpp
+++ b/tests/standins/native/database_server.cpp
@@ -61,7 +61,7 @@
     Address = {"127.0.0.1", Acceptor.local_endpoint().port()};
   }
 
-  native_database &self() { return *findDatabase(Group, Name); }
+  simulated_database &self() { return *findDatabase(Group, Name); }
   base::task<void> accept();
   base::task<void> serve(std::shared_ptr<connection> Client);
   std::string start(connection &Client, std::string Fields);
@@ -151,7 +151,7 @@
 }
 
 std::string database_server::state::statusRow() const {
-  native_database &Own = *findDatabase(Group, Name);
+  simulated_database &Own = *findDatabase(Group, Name);
   replicate(Group, base::now());
   return std::string("ROW ") + (Own.Primary ? "primary" : "replica") + " " +
          std::to_string(Group.Term) + " " + std::to_string(Group.Term) + "." +
--- a/tests/standins/native/world.cpp
+++ b/tests/standins/native/simulated_platform.cpp
@@ -1,4 +1,4 @@
-#include "native/world.hpp"
+#include "native/simulated_platform.hpp"
 
 #include <boost/asio/executor_work_guard.hpp>
 #include <boost/asio/post.hpp>
@@ -22,7 +22,7 @@
 
 } // namespace
 
-native_world::native_world()
+simulated_platform::simulated_platform()
     : StoreServer(Context.get_executor(), {},
                   [this](http::connection &,
                          http::request Request) -> base::task<http::response> {
@@ -35,7 +35,7 @@
             constexpr unsigned Unavailable = 503;
             http::response Refused;
             Refused.Status = Unavailable;
-            co_return SecondWayDown ? Refused : Store.handle(Request);
+            co_return SecondStoreDown ? Refused : Store.handle(Request);
           }),
       PromotionServer(Context.get_executor(), {},
                       [this](http::connection &, http::request Request)
@@ -44,21 +44,21 @@
                       }) {
   Group.Service = "s";
   for (const char *Name : {"d1", "d2", "d3"}) {
-    native_database Database;
+    simulated_database Database;
     Database.Name = Name;
     Database.Primary = Group.Databases.empty();
     Group.Databases.push_back(Database);
   }
-  for (const native_database &Database : Group.Databases) {
+  for (const simulated_database &Database : Group.Databases) {
     Servers.push_back(std::make_unique<database_server>(Context.get_executor(),
                                                         Group, Database.Name));
     list(Database);
   }
   const http::address Any{"127.0.0.1", 0};
   StoreAddress = StoreServer.listen(Any).value();
-  SecondWay = std::make_unique<slow_way>(Context.get_executor(),
-                                         SecondStoreServer.listen(Any).value());
-  SecondStoreAddress = SecondWay->address();
+  SecondStoreProxy = std::make_unique<throttled_proxy>(
+      Context.get_executor(), SecondStoreServer.listen(Any).value());
+  SecondStoreAddress = SecondStoreProxy->address();
   PromotionAddress = PromotionServer.listen(Any).value();
   configure({"key"});
   Thread = std::thread([this] {
@@ -67,12 +67,13 @@
   });
 }
 
-native_world::~native_world() {
+simulated_platform::~simulated_platform() {
   Context.stop();
   Thread.join();
 }
 
-void native_world::with(const std::function<void(native_world &)> &Work) {
+void simulated_platform::runOnThread(
+    const std::function<void(simulated_platform &)> &Work) {
   std::promise<void> Done;
   asio::post(Context, [&] {
     Work(*this);
@@ -81,7 +82,7 @@
   Done.get_future().wait();
 }
 
-void native_world::list(const native_database &Database) {
+void simulated_platform::list(const simulated_database &Database) {
   for (const auto &Server : Servers) {
     const std::size_t Index = &Server - Servers.data();
     if (Group.Databases[Index].Name != Database.Name)
@@ -101,8 +102,8 @@
   }
 }
 
-void native_world::configure(const std::vector<std::string> &Keys, double Rate,
-                             std::size_t UnusedRoutes) {
+void simulated_platform::configure(const std::vector<std::string> &Keys,
+                                   double Rate, std::size_t UnusedRoutes) {
   json::array Routes{routeOf("strict", "primary"),
                      routeOf("bounded", "bounded_staleness"),
                      routeOf("own", "read_your_writes")};
@@ -124,7 +125,7 @@
                 {"tenants", json::array{Customer}}}));
 }
 
-http::response native_world::promoteOne(const http::request &Request) {
+http::response simulated_platform::promoteOne(const http::request &Request) {
   const json::value Body = json::parse(Request.Body);
   const std::string Name(Body.at("identifier").as_string());
   Promotions.push_back({Name, Request.From});
@@ -132,14 +133,14 @@
   constexpr unsigned Conflict = 409;
   if (!promote(Group, Name))
     Response.Status = Conflict;
-  for (const native_database &Database : Group.Databases)
+  for (const simulated_database &Database : Group.Databases)
     if (!Database.Down)
       list(Database);
   return Response;
 }
 
-void native_world::crash(const std::string &Name) {
-  with([&](native_world &World) {
+void simulated_platform::crash(const std::string &Name) {
+  runOnThread([&](simulated_platform &World) {
     findDatabase(World.Group, Name)->Down = true;
     for (std::size_t Index = 0; Index < Servers.size(); ++Index)
       if (World.Group.Databases[Index].Name == Name)
@@ -147,9 +148,9 @@
   });
 }
 
-void native_world::drain(const std::string &Name) {
-  with([&](native_world &World) {
-    native_database *Database = findDatabase(World.Group, Name);
+void simulated_platform::drain(const std::string &Name) {
+  runOnThread([&](simulated_platform &World) {
+    simulated_database *Database = findDatabase(World.Group, Name);
     Database->Draining = true;
     list(*Database);
   });
--- a/tests/standins/native/world.hpp
+++ b/tests/standins/native/simulated_platform.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "common/slow_way.hpp"
+#include "common/throttled_proxy.hpp"
 #include "native/database_group.hpp"
 #include "native/database_server.hpp"
 #include "native/row_table.hpp"
@@ -25,16 +25,16 @@
   std::string Orderer;
 };
 
-class native_world {
+class simulated_platform {
 public:
   /// One service "s" with the databases d1 (primary), d2 and d3.
-  native_world();
-  native_world(const native_world &) = delete;
-  native_world &operator=(const native_world &) = delete;
-  ~native_world();
+  simulated_platform();
+  simulated_platform(const simulated_platform &) = delete;
+  simulated_platform &operator=(const simulated_platform &) = delete;
+  ~simulated_platform();
 
   /// Runs \p Work on the world's thread and waits for it.
-  void with(const std::function<void(native_world &)> &Work);
+  void runOnThread(const std::function<void(simulated_platform &)> &Work);
 
   /// Stops \p Name: its entry stays for a while, as after a crash.
   void crash(const std::string &Name);
@@ -50,17 +50,17 @@
   http::address SecondStoreAddress;
   http::address PromotionAddress;
 
-  /// \name For use in with() only
+  /// \name For use in runOnThread() only
   /// @{
   row_table Store;
-  bool SecondWayDown = false;
-  std::unique_ptr<slow_way> SecondWay;
+  bool SecondStoreDown = false;
+  std::unique_ptr<throttled_proxy> SecondStoreProxy;
   database_group Group;
   std::vector<promotion> Promotions;
   /// @}
 
 private:
-  void list(const native_database &Database);
+  void list(const simulated_database &Database);
   http::response promoteOne(const http::request &Request);
 
   boost::asio::io_context Context;
--- a/tests/storage/own_protocol_test.cpp
+++ b/tests/storage/own_protocol_test.cpp
@@ -1,4 +1,4 @@
-#include "common/slow_way.hpp"
+#include "common/throttled_proxy.hpp"
 #include "platform/platform.hpp"
 
 #include "redwinggw/http/server.hpp"
@@ -42,14 +42,14 @@
                         return Platform.handle(std::move(Request));
                       });
   const http::address Address = Server.listen({"127.0.0.1", 0}).value();
-  standin::slow_way Way(Executor, Address);
+  standin::throttled_proxy Proxy(Executor, Address);
   // Twice the longest silence for the whole row, a twentieth for a chunk.
   constexpr std::size_t BytesPerSecond = 100'000;
   constexpr base::milliseconds Silence{4000};
   constexpr base::milliseconds Long{60'000};
-  Way.setSpeed(BytesPerSecond);
+  Proxy.setSpeed(BytesPerSecond);
   storage::store Direct{Executor, Address, "i1", Long};
-  storage::store Slow{Executor, Way.address(), "i1", Silence};
+  storage::store Slow{Executor, Proxy.address(), "i1", Silence};
   std::string Value;
   asio::co_spawn(Context, writeThenRead(Direct, Slow, Value),
                  [&](const std::exception_ptr &) { Context.stop(); });
--- a/tests/support/fleet_files.cpp
+++ b/tests/support/fleet_files.cpp
@@ -38,7 +38,7 @@
         << ",,,,,,,,,\n";
   for (const customer_plan &Customer : Plan.Customers) {
     const std::string Digest =
-        base::toHex(base::keyedDigest(FleetKey, Customer.Key));
+        base::toHex(base::hmacSha256(FleetKey, Customer.Key));
     Sheet << "customer," << Customer.Name << ",,,," << Customer.Rate << ","
           << Customer.Burst << ",,,,\n";
     Sheet << "key," << Customer.Name << "-1," << Customer.Name << ",,,,,,,,"
