--- a/packages/base/include/redwinggw/base/bounded_output.hpp
+++ b/packages/base/include/redwinggw/base/bounded_output.hpp
@@ -28,7 +28,7 @@
   std::size_t Capacity;
   std::string Buffer;
   std::uint64_t Dropped = 0;
-  std::uint64_t Told = 0;
+  std::uint64_t ReportedDropped = 0;
 };
 
 } // namespace redwinggw::base
--- a/packages/base/src/base64.cpp
+++ b/packages/base/src/base64.cpp
@@ -8,8 +8,8 @@
 namespace {
 
 /// Three bytes become four characters.
-constexpr std::size_t Bytes = 3;
-constexpr std::size_t Characters = 4;
+constexpr std::size_t GroupBytes = 3;
+constexpr std::size_t GroupCharacters = 4;
 
 const unsigned char *unsignedBegin(std::string_view Text) {
   return reinterpret_cast<const unsigned char *>(Text.data());
@@ -18,7 +18,8 @@
 } // namespace
 
 std::string toBase64(std::string_view Text) {
-  std::string Out((Text.size() + Bytes - 1) / Bytes * Characters + 1, '\0');
+  std::string Out(
+      (Text.size() + GroupBytes - 1) / GroupBytes * GroupCharacters + 1, '\0');
   const int Size =
       EVP_EncodeBlock(reinterpret_cast<unsigned char *>(Out.data()),
                       unsignedBegin(Text), static_cast<int>(Text.size()));
@@ -27,15 +28,16 @@
 }
 
 std::optional<std::string> fromBase64(std::string_view Text) {
-  constexpr std::size_t MostPadding = 2;
-  std::string Out(Text.size() / Characters * Bytes + Bytes, '\0');
+  constexpr std::size_t MaxPadding = 2;
+  std::string Out(Text.size() / GroupCharacters * GroupBytes + GroupBytes,
+                  '\0');
   const int Size =
       EVP_DecodeBlock(reinterpret_cast<unsigned char *>(Out.data()),
                       unsignedBegin(Text), static_cast<int>(Text.size()));
   if (Size < 0)
     return std::nullopt;
   // The padding decodes into zero bytes that nobody encoded.
-  const std::size_t Tail = std::min(MostPadding, Text.size());
+  const std::size_t Tail = std::min(MaxPadding, Text.size());
   const auto Padding = static_cast<std::size_t>(
       std::ranges::count(Text.substr(Text.size() - Tail), '='));
   Out.resize(static_cast<std::size_t>(Size) - Padding);
--- a/packages/base/src/bounded_output.cpp
+++ b/packages/base/src/bounded_output.cpp
@@ -11,7 +11,7 @@
 /// A write of up to this size to a pipe that has room does not block.
 constexpr std::size_t AtomicWrite = 4096;
 
-bool takesNow(int Descriptor) {
+bool isWritable(int Descriptor) {
   pollfd Poll{Descriptor, POLLOUT, 0};
   return ::poll(&Poll, 1, 0) == 1 && (Poll.revents & POLLOUT) != 0;
 }
@@ -26,11 +26,11 @@
     ++Dropped;
     return;
   }
-  if (Dropped > Told) {
+  if (Dropped > ReportedDropped) {
     Buffer.append(R"({"event":"log_lines_dropped","count":)")
-        .append(std::to_string(Dropped - Told))
+        .append(std::to_string(Dropped - ReportedDropped))
         .append("}\n");
-    Told = Dropped;
+    ReportedDropped = Dropped;
   }
   Buffer.append(Line).push_back('\n');
   if (Buffer.size() >= AtomicWrite)
@@ -39,7 +39,7 @@
 
 void bounded_output::flush() {
   std::size_t Written = 0;
-  while (Written < Buffer.size() && takesNow(Descriptor)) {
+  while (Written < Buffer.size() && isWritable(Descriptor)) {
     const std::size_t Size = std::min(AtomicWrite, Buffer.size() - Written);
     const auto Done = ::write(Descriptor, Buffer.data() + Written, Size);
     if (Done <= 0)
--- a/packages/base/src/timeline.cpp
+++ b/packages/base/src/timeline.cpp
@@ -13,7 +13,7 @@
 
 using enum event_kind;
 
-constexpr std::size_t TextLimit = 64;
+constexpr std::size_t MaxTextBytes = 64;
 
 constexpr std::array EventNames = std::to_array<enum_name<event_kind>>({
     {RequestReceived, "request_received"},
@@ -57,9 +57,9 @@
     {DrainEnded, "drain_ended"},
 });
 
-void cut(std::string &Text) {
-  if (Text.size() > TextLimit)
-    Text.resize(TextLimit);
+void truncateText(std::string &Text) {
+  if (Text.size() > MaxTextBytes)
+    Text.resize(MaxTextBytes);
 }
 
 } // namespace
@@ -71,13 +71,13 @@
 }
 
 void record(timeline &Line, timeline_event Event) {
-  cut(Event.RequestId);
-  cut(Event.Subject);
-  cut(Event.Detail);
-  const std::size_t Place = Line.Recorded % Line.Capacity;
+  truncateText(Event.RequestId);
+  truncateText(Event.Subject);
+  truncateText(Event.Detail);
+  const std::size_t Index = Line.Recorded % Line.Capacity;
   ++Line.Recorded;
-  if (Place < Line.Ring.size())
-    Line.Ring[Place] = std::move(Event);
+  if (Index < Line.Ring.size())
+    Line.Ring[Index] = std::move(Event);
   else
     Line.Ring.push_back(std::move(Event));
 }
--- a/packages/base/src/timeline_export.cpp
+++ b/packages/base/src/timeline_export.cpp
@@ -113,11 +113,11 @@
   std::map<instance_name, std::size_t> Processes;
   json::array Rows;
   for (const timeline_event &Event : Events) {
-    const auto [Place, Added] =
+    const auto [Entry, Added] =
         Processes.try_emplace(Event.Instance, Processes.size() + 1);
     if (Added)
-      Rows.push_back(processName(Event.Instance, Place->second));
-    Rows.push_back(chromeEvent(Event, Place->second));
+      Rows.push_back(processName(Event.Instance, Entry->second));
+    Rows.push_back(chromeEvent(Event, Entry->second));
   }
   json::object Object;
   Object["traceEvents"] = std::move(Rows);
--- a/packages/http/include/redwinggw/http/client.hpp
+++ b/packages/http/include/redwinggw/http/client.hpp
@@ -28,16 +28,16 @@
 
   /// Sends \p Request and reads the whole answer. Precondition: connected and
   /// no other exchange is running. After a failure the connection is closed.
-  /// With \p Silence the exchange also ends when the answer's head, or the next
-  /// part of its body, does not come for so long: \p Deadline can then leave a
-  /// large answer the time that it needs.
+  /// With \p StallTimeout the exchange also ends when the answer's head, or the
+  /// next part of its body, does not come for so long: \p Deadline can then
+  /// leave a large answer the time that it needs.
   ///
   /// Fails with errc::EndpointUnreachable when not one byte was sent, so the
   /// request did not run; with errc::OutcomeUnknown when some were sent and no
   /// answer came in time; with errc::TruncatedAnswer when the answer broke off.
   base::task<base::result<response>>
   exchange(const request &Request, base::instant Deadline,
-           std::optional<base::milliseconds> Silence = std::nullopt);
+           std::optional<base::milliseconds> StallTimeout = std::nullopt);
 
   /// Closes the connection. May be called when it is closed already.
   void close();
@@ -53,6 +53,6 @@
 base::task<base::result<response>>
 exchangeOnce(boost::asio::any_io_executor Executor, address Address,
              request Request, base::instant Deadline,
-             std::optional<base::milliseconds> Silence = std::nullopt);
+             std::optional<base::milliseconds> StallTimeout = std::nullopt);
 
 } // namespace redwinggw::http
--- a/packages/http/include/redwinggw/http/listen.hpp
+++ b/packages/http/include/redwinggw/http/listen.hpp
@@ -16,11 +16,12 @@
 base::result<address> listenAt(boost::asio::ip::tcp::acceptor &Acceptor,
                                const address &Address);
 
-/// Hands each connection that \p Acceptor takes to \p Take, until it is closed.
-/// Small messages on them are sent at once. When no descriptor is left it
-/// pauses; it would spin otherwise. \p Take has to keep \p Acceptor alive.
-base::task<void>
-acceptConnections(boost::asio::ip::tcp::acceptor &Acceptor,
-                  std::function<void(boost::asio::ip::tcp::socket)> Take);
+/// Hands each connection that \p Acceptor takes to \p OnConnection, until it is
+/// closed. Small messages on them are sent at once. When no descriptor is left
+/// it pauses; it would spin otherwise. \p OnConnection has to keep \p Acceptor
+/// alive.
+base::task<void> acceptConnections(
+    boost::asio::ip::tcp::acceptor &Acceptor,
+    std::function<void(boost::asio::ip::tcp::socket)> OnConnection);
 
 } // namespace redwinggw::http
--- a/packages/http/src/client.cpp
+++ b/packages/http/src/client.cpp
@@ -19,7 +19,7 @@
 using base::failure;
 
 constexpr auto Token = asio::as_tuple(asio::use_awaitable);
-constexpr std::size_t AnswerLimit = std::size_t{64} * 1024 * 1024;
+constexpr std::size_t MaxResponseBytes = std::size_t{64} * 1024 * 1024;
 
 beast::http::request<beast::http::string_body> messageOf(const request &From) {
   beast::http::request<beast::http::string_body> Message;
@@ -46,11 +46,12 @@
   explicit state(asio::any_io_executor Executor)
       : Stream(std::move(Executor)) {}
 
-  /// Ends the running step at \p Deadline, or after \p Silence if sooner.
-  void expectProgress(base::instant Deadline,
-                      std::optional<base::milliseconds> Silence) {
+  /// Ends the running step at \p Deadline, or after \p StallTimeout if sooner.
+  void setExpiry(base::instant Deadline,
+                 std::optional<base::milliseconds> StallTimeout) {
     const base::instant Latest =
-        Silence ? std::min(Deadline, base::now() + *Silence) : Deadline;
+        StallTimeout ? std::min(Deadline, base::now() + *StallTimeout)
+                     : Deadline;
     Stream.expires_at(base::timerPoint(Latest));
   }
 
@@ -81,8 +82,8 @@
 
 base::task<base::result<response>>
 client::exchange(const request &Request, base::instant Deadline,
-                 std::optional<base::milliseconds> Silence) {
-  State->expectProgress(Deadline, Silence);
+                 std::optional<base::milliseconds> StallTimeout) {
+  State->setExpiry(Deadline, StallTimeout);
   const auto Message = messageOf(Request);
   const auto [WriteError, Sent] =
       co_await beast::http::async_write(State->Stream, Message, Token);
@@ -93,10 +94,10 @@
                       WriteError.message());
   }
   beast::http::response_parser<beast::http::string_body> Parser;
-  Parser.body_limit(AnswerLimit);
+  Parser.body_limit(MaxResponseBytes);
   std::size_t Received = 0;
   while (!Parser.is_done()) {
-    State->expectProgress(Deadline, Silence);
+    State->setExpiry(Deadline, StallTimeout);
     const auto [ReadError, Read] = co_await beast::http::async_read_some(
         State->Stream, State->Buffer, Parser, Token);
     Received += Read;
@@ -128,13 +129,13 @@
 base::task<base::result<response>>
 exchangeOnce(asio::any_io_executor Executor, address Address, request Request,
              base::instant Deadline,
-             std::optional<base::milliseconds> Silence) {
+             std::optional<base::milliseconds> StallTimeout) {
   client Client(std::move(Executor));
-  const base::instant Connected =
-      Silence ? std::min(Deadline, base::now() + *Silence) : Deadline;
-  if (auto Open = co_await Client.connect(Address, Connected); !Open)
+  const base::instant ConnectDeadline =
+      StallTimeout ? std::min(Deadline, base::now() + *StallTimeout) : Deadline;
+  if (auto Open = co_await Client.connect(Address, ConnectDeadline); !Open)
     co_return Open.error();
-  co_return co_await Client.exchange(Request, Deadline, Silence);
+  co_return co_await Client.exchange(Request, Deadline, StallTimeout);
 }
 
 } // namespace redwinggw::http
--- a/packages/http/src/listen.cpp
+++ b/packages/http/src/listen.cpp
@@ -16,7 +16,7 @@
 
 constexpr auto Token = asio::as_tuple(asio::use_awaitable);
 /// Pause when no descriptor is left for a new connection.
-constexpr base::milliseconds AcceptPause{50};
+constexpr base::milliseconds AcceptRetryDelay{50};
 
 } // namespace
 
@@ -42,16 +42,16 @@
 
 base::task<void>
 acceptConnections(asio::ip::tcp::acceptor &Acceptor,
-                  std::function<void(asio::ip::tcp::socket)> Take) {
+                  std::function<void(asio::ip::tcp::socket)> OnConnection) {
   while (Acceptor.is_open()) {
     auto [Error, Socket] = co_await Acceptor.async_accept(Token);
     boost::system::error_code Ignored;
     if (!Error) {
       Socket.set_option(asio::ip::tcp::no_delay(true), Ignored);
-      Take(std::move(Socket));
+      OnConnection(std::move(Socket));
       continue;
     }
-    asio::steady_timer Pause(Acceptor.get_executor(), AcceptPause);
+    asio::steady_timer Pause(Acceptor.get_executor(), AcceptRetryDelay);
     if (Acceptor.is_open())
       co_await Pause.async_wait(Token);
   }
--- a/packages/http/src/server.cpp
+++ b/packages/http/src/server.cpp
@@ -67,7 +67,7 @@
       : Executor(std::move(Executor)), Options(Options),
         Handler(std::move(Handler)), Acceptor(this->Executor) {}
 
-  void take(asio::ip::tcp::socket Socket) {
+  void accept(asio::ip::tcp::socket Socket) {
     const auto Session = std::make_shared<session>(std::move(Socket));
     Session->Connection.Id = ++LastId;
     Sessions.emplace(Session->Connection.Id, Session);
@@ -142,7 +142,7 @@
         State->Executor,
         acceptConnections(State->Acceptor,
                           [Self = State](asio::ip::tcp::socket Socket) {
-                            Self->take(std::move(Socket));
+                            Self->accept(std::move(Socket));
                           }),
         asio::detached);
   return Listening;
--- a/packages/kernel/src/life_cycle.cpp
+++ b/packages/kernel/src/life_cycle.cpp
@@ -27,7 +27,7 @@
 struct drained_event {};
 
 /// A state that reports its entry to the machine's owner.
-template <life_state Value> struct reported : msm::front::state<> {
+template <life_state Value> struct notifying_state : msm::front::state<> {
   template <typename Event, typename Machine>
   void on_entry(const Event &, Machine &Owner) {
     Owner.State = Value;
@@ -36,10 +36,10 @@
   }
 };
 
-using starting = reported<life_state::Starting>;
-using serving = reported<life_state::Serving>;
-using draining = reported<life_state::Draining>;
-using stopped = reported<life_state::Stopped>;
+using starting = notifying_state<life_state::Starting>;
+using serving = notifying_state<life_state::Serving>;
+using draining = notifying_state<life_state::Draining>;
+using stopped = notifying_state<life_state::Stopped>;
 
 struct definition : msm::front::state_machine_def<definition> {
   using initial_state = starting;
--- a/packages/storage/src/own_protocol.cpp
+++ b/packages/storage/src/own_protocol.cpp
@@ -30,9 +30,9 @@
 
 /// Asks with a whole answer due by \p Deadline, which stops coming for
 /// Store.Timeout at most.
-base::task<result<http::response>> askUntil(store &Store, std::string Target,
-                                            json::object Body,
-                                            base::instant Deadline) {
+base::task<result<http::response>> sendUntil(store &Store, std::string Target,
+                                             json::object Body,
+                                             base::instant Deadline) {
   http::request Request;
   Request.Target = std::move(Target);
   Request.From = Store.Instance;
@@ -50,17 +50,17 @@
 }
 
 /// Changes something: whoever asked has to know soon how it ended.
-base::task<result<http::response>> ask(store &Store, std::string Target,
-                                       json::object Body) {
-  return askUntil(Store, std::move(Target), std::move(Body),
-                  base::now() + Store.Timeout);
+base::task<result<http::response>> sendWrite(store &Store, std::string Target,
+                                             json::object Body) {
+  return sendUntil(Store, std::move(Target), std::move(Body),
+                   base::now() + Store.Timeout);
 }
 
 /// Reads something, which takes as long as its size and the link need.
-base::task<result<http::response>> askToRead(store &Store, std::string Target,
-                                             json::object Body) {
-  return askUntil(Store, std::move(Target), std::move(Body),
-                  base::now() + LongestTransfer);
+base::task<result<http::response>> sendRead(store &Store, std::string Target,
+                                            json::object Body) {
+  return sendUntil(Store, std::move(Target), std::move(Body),
+                   base::now() + LongestTransfer);
 }
 
 template <typename Value, typename Read>
@@ -149,8 +149,7 @@
 base::task<result<std::vector<row>>> get(store &Store,
                                          std::vector<std::string> Keys) {
   json::object Body{{"keys", json::value_from(Keys)}};
-  const auto Response =
-      co_await askToRead(Store, "/table/get", std::move(Body));
+  const auto Response = co_await sendRead(Store, "/table/get", std::move(Body));
   if (!Response)
     co_return Response.error();
   co_return readBody<std::vector<row>>(
@@ -161,7 +160,7 @@
 base::task<result<std::vector<row>>> scan(store &Store, std::string Prefix) {
   json::object Body{{"prefix", Prefix}};
   const auto Response =
-      co_await askToRead(Store, "/table/scan", std::move(Body));
+      co_await sendRead(Store, "/table/scan", std::move(Body));
   if (!Response)
     co_return Response.error();
   co_return readBody<std::vector<row>>(*Response, rowsOf);
@@ -170,7 +169,8 @@
 base::task<result<std::vector<std::uint64_t>>> commit(store &Store,
                                                       commit_request Request) {
   json::object Body = bodyOf(Request);
-  const auto Response = co_await ask(Store, "/table/commit", std::move(Body));
+  const auto Response =
+      co_await sendWrite(Store, "/table/commit", std::move(Body));
   if (!Response)
     co_return Response.error();
   if (Response->Status == StatusConflict)
@@ -184,7 +184,8 @@
 base::task<result<void>> putObject(store &Store, std::string Name,
                                    std::string Content) {
   json::object Body{{"name", Name}, {"content", Content}};
-  const auto Response = co_await ask(Store, "/object/put", std::move(Body));
+  const auto Response =
+      co_await sendWrite(Store, "/object/put", std::move(Body));
   if (!Response)
     co_return Response.error();
   co_return result<void>();
@@ -193,7 +194,7 @@
 base::task<result<std::string>> getObject(store &Store, std::string Name) {
   json::object Body{{"name", Name}};
   const auto Response =
-      co_await askToRead(Store, "/object/get", std::move(Body));
+      co_await sendRead(Store, "/object/get", std::move(Body));
   if (!Response)
     co_return Response.error();
   if (Response->Status == StatusNotFound)
@@ -205,8 +206,7 @@
 
 base::task<result<std::vector<listed_instance>>> listInstances(store &Store) {
   json::object Body;
-  const auto Response =
-      co_await askToRead(Store, "/instances", std::move(Body));
+  const auto Response = co_await sendRead(Store, "/instances", std::move(Body));
   if (!Response)
     co_return Response.error();
   co_return readBody<std::vector<listed_instance>>(
--- a/tests/base/hybrid_clock_test.cpp
+++ b/tests/base/hybrid_clock_test.cpp
@@ -29,13 +29,13 @@
 // One instance comes up with a clock a day ahead and sends one message. The
 // time lines of all others would jump a day ahead and stay there.
 Test(hybrid_clock, a_peer_far_ahead_does_not_move_the_clock) {
-  for (const auto &[Drift, Believed] :
+  for (const auto &[Drift, Accepted] :
        {std::pair{1000, true}, {1001, false}, {86'400'000, false}}) {
     hybrid_clock Clock;
     tick(Clock, 5000);
     const merged_time Merged = merge(Clock, {5000 + Drift, 0}, 5000);
-    cr_assert(Merged.PeerAccepted == Believed);
-    cr_assert((Merged.Time.Wall == 5000) == !Believed);
+    cr_assert(Merged.PeerAccepted == Accepted);
+    cr_assert((Merged.Time.Wall == 5000) == !Accepted);
     cr_assert((hybrid_time{5000, 0} < Merged.Time));
   }
 }
--- a/tests/base/metrics_test.cpp
+++ b/tests/base/metrics_test.cpp
@@ -82,10 +82,10 @@
   const auto Table = metricTable();
   cr_assert(Table.size() ==
             static_cast<std::size_t>(metric::ProcessUptimeSeconds) + 1);
-  for (std::size_t Place = 0; Place < Table.size(); ++Place) {
-    cr_assert(static_cast<std::size_t>(Table[Place].Metric) == Place);
-    cr_assert(!Table[Place].Unit.empty());
-    cr_assert(!Table[Place].WhenOff.empty());
+  for (std::size_t Index = 0; Index < Table.size(); ++Index) {
+    cr_assert(static_cast<std::size_t>(Table[Index].Metric) == Index);
+    cr_assert(!Table[Index].Unit.empty());
+    cr_assert(!Table[Index].WhenOff.empty());
   }
   const auto Names = names();
   cr_assert(std::set(Names.begin(), Names.end()).size() == Names.size());
--- a/tests/base/timeline_test.cpp
+++ b/tests/base/timeline_test.cpp
@@ -22,13 +22,13 @@
 // The wall clock of instance b is 300 ms behind. Sorted by wall clocks, b
 // would admit a share before a gave it.
 Test(timeline, merged_lines_hold_a_cause_before_its_effect) {
-  timeline Giver("a");
-  timeline Taker("b");
-  record(Giver, 1000, event_kind::ShareGiven, "c1");
-  const hybrid_time Sent = tick(Giver.Clock, 1000);
-  merge(Taker.Clock, Sent, 700);
-  record(Taker, 700, event_kind::ShareTaken, "c1");
-  const auto Merged = mergeTimelines({eventsOf(Taker), eventsOf(Giver)});
+  timeline Sender("a");
+  timeline Receiver("b");
+  record(Sender, 1000, event_kind::ShareGiven, "c1");
+  const hybrid_time Sent = tick(Sender.Clock, 1000);
+  merge(Receiver.Clock, Sent, 700);
+  record(Receiver, 700, event_kind::ShareTaken, "c1");
+  const auto Merged = mergeTimelines({eventsOf(Receiver), eventsOf(Sender)});
   cr_assert(Merged.front().Kind == event_kind::ShareGiven);
   cr_assert(Merged.back().Kind == event_kind::ShareTaken);
 }
--- a/tests/http/client_test.cpp
+++ b/tests/http/client_test.cpp
@@ -48,18 +48,18 @@
 }
 
 base::task<void> exchangeWith(asio::io_context &Context, http::address Address,
-                              milliseconds Silence,
+                              milliseconds StallTimeout,
                               base::result<http::response> &Answer) {
   http::client Client(Context.get_executor());
   const auto Connected = co_await Client.connect(Address, base::now() + Long);
   cr_assert(Connected.has_value());
   const http::request Request;
-  Answer = co_await Client.exchange(Request, base::now() + Long, Silence);
+  Answer = co_await Client.exchange(Request, base::now() + Long, StallTimeout);
   Context.stop();
 }
 
 base::result<http::response> exchangeSlowly(slow_server Server,
-                                            milliseconds Silence) {
+                                            milliseconds StallTimeout) {
   asio::io_context Context;
   asio::ip::tcp::acceptor Acceptor(Context);
   const auto Address = http::listenAt(Acceptor, {"127.0.0.1", 0});
@@ -71,7 +71,7 @@
                  asio::detached);
   base::result<http::response> Answer = base::failure(base::errc::Internal);
   asio::co_spawn(Context,
-                 exchangeWith(Context, Address.value(), Silence, Answer),
+                 exchangeWith(Context, Address.value(), StallTimeout, Answer),
                  asio::detached);
   Context.run();
   return Answer;
@@ -81,20 +81,20 @@
 
 // Guards against cutting off an answer that takes long and still arrives.
 Test(client, waits_for_an_answer_while_it_arrives) {
-  constexpr milliseconds Silence{2000};
+  constexpr milliseconds StallTimeout{2000};
   constexpr milliseconds BetweenBytes{250};
   const std::string Body = "ten bytes.";
-  const auto Answer = exchangeSlowly({Body, BetweenBytes}, Silence);
+  const auto Answer = exchangeSlowly({Body, BetweenBytes}, StallTimeout);
   cr_assert(Answer.has_value());
   cr_assert(Answer->Body == Body);
 }
 
 // Guards against waiting until the deadline for a connection that went silent.
 Test(client, gives_up_an_answer_that_stops_arriving) {
-  constexpr milliseconds Silence{300};
+  constexpr milliseconds StallTimeout{300};
   constexpr std::size_t StopsAfter = 3;
   const auto Answer =
-      exchangeSlowly({"ten bytes.", milliseconds(0), StopsAfter}, Silence);
+      exchangeSlowly({"ten bytes.", milliseconds(0), StopsAfter}, StallTimeout);
   cr_assert(Answer.has_error());
   cr_assert(kindOf(Answer.error()) == base::errc::TruncatedAnswer);
 }
--- a/tests/http/server_test.cpp
+++ b/tests/http/server_test.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr std::chrono::seconds Patience{10};
+constexpr std::chrono::seconds ExchangeTimeout{10};
 
 base::task<http::response> echo(http::connection &, http::request Request) {
   if (Request.Target == "/throw")
@@ -33,7 +33,7 @@
     Request.Body = std::move(Body);
     Answer =
         co_await http::exchangeOnce(Context.get_executor(), Address.value(),
-                                    Request, base::now() + Patience);
+                                    Request, base::now() + ExchangeTimeout);
     Server.drain();
   };
   boost::asio::co_spawn(Context, Run(), boost::asio::detached);
--- a/tests/standins/common/standin.cpp
+++ b/tests/standins/common/standin.cpp
@@ -71,7 +71,7 @@
     Timer->cancel();
 }
 
-base::task<void> slot_queue::take() {
+base::task<void> slot_queue::acquire() {
   if (Free > 0) {
     --Free;
     co_return;
@@ -81,7 +81,7 @@
   co_await Timer.async_wait(Token);
 }
 
-void slot_queue::give() {
+void slot_queue::release() {
   if (Waiting.empty()) {
     ++Free;
     return;
--- a/tests/standins/common/standin.hpp
+++ b/tests/standins/common/standin.hpp
@@ -67,10 +67,10 @@
   slot_queue(boost::asio::any_io_executor Executor, unsigned Slots)
       : Executor(std::move(Executor)), Free(Slots) {}
 
-  base::task<void> take();
+  base::task<void> acquire();
 
   /// Precondition: a slot is held.
-  void give();
+  void release();
 
 private:
   boost::asio::any_io_executor Executor;
--- a/tests/standins/common/throttled_proxy.cpp
+++ b/tests/standins/common/throttled_proxy.cpp
@@ -101,13 +101,13 @@
                                  http::address Server)
     : State(std::make_shared<state>(std::move(Executor), std::move(Server))) {
   State->Address = http::listenAt(State->Acceptor, {"127.0.0.1", 0}).value();
-  const auto Take = [Self = State](tcp::socket Client) {
+  const auto OnConnection = [Self = State](tcp::socket Client) {
     const auto Connection = std::make_shared<proxied_connection>(
         proxied_connection{std::move(Client), tcp::socket(Self->Executor)});
     asio::co_spawn(Self->Executor, Self->forward(Connection), asio::detached);
   };
   asio::co_spawn(State->Executor,
-                 http::acceptConnections(State->Acceptor, Take),
+                 http::acceptConnections(State->Acceptor, OnConnection),
                  asio::detached);
 }
 
--- a/tests/standins/endpoint/endpoint.cpp
+++ b/tests/standins/endpoint/endpoint.cpp
@@ -74,11 +74,11 @@
     co_return admin(Request);
   database_connection &Connection = connectionOf(Server, *this);
   const peer Peer{Request.From, Request.Target == "/replicate"};
-  if (!co_await letIn(Connection, Peer))
+  if (!co_await passInbound(Connection, Peer))
     co_return closed();
   std::optional<http::response> Response =
       co_await perform(Connection, Request);
-  if (!Response || !co_await letOut(Connection, Peer))
+  if (!Response || !co_await passOutbound(Connection, Peer))
     co_return closed();
   co_return std::move(*Response);
 }
@@ -219,36 +219,38 @@
       StatusConflict);
 }
 
-base::task<bool> endpoint_standin::letIn(database_connection &Connection,
-                                         peer From) {
+base::task<bool> endpoint_standin::passInbound(database_connection &Connection,
+                                               peer From) {
   if (isSilent(Connection)) {
     // What lies between has lost track of the connection. The database's own
     // keep-alive ends it, so it holds neither locks nor a place in the limit.
     disconnect(Connection);
-    co_await hang();
+    co_await waitForFaultChange();
     co_return false;
   }
   while (Faults.Paused)
     co_await FaultsChanged.wait();
   if (arrives(Faults, From))
     co_return true;
-  co_await hang();
+  co_await waitForFaultChange();
   co_return false;
 }
 
-base::task<bool> endpoint_standin::letOut(database_connection &Connection,
-                                          peer To) {
+base::task<bool> endpoint_standin::passOutbound(database_connection &Connection,
+                                                peer To) {
   co_await pause(Executor, Faults.Slow);
   while (Faults.Paused)
     co_await FaultsChanged.wait();
   if (!isSilent(Connection) && leaves(Faults, To))
     co_return true;
   disconnect(Connection);
-  co_await hang();
+  co_await waitForFaultChange();
   co_return false;
 }
 
-base::task<void> endpoint_standin::hang() { return FaultsChanged.wait(); }
+base::task<void> endpoint_standin::waitForFaultChange() {
+  return FaultsChanged.wait();
+}
 
 bool endpoint_standin::isSilent(const database_connection &Connection) const {
   return Connection.Id <= Faults.SilentUpTo;
--- a/tests/standins/endpoint/endpoint.hpp
+++ b/tests/standins/endpoint/endpoint.hpp
@@ -72,7 +72,7 @@
 struct run_progress {
   data::run_request Request;
   /// Begin and commit are implied.
-  bool Alone = false;
+  bool AutoCommit = false;
   boost::json::array Results;
   base::microseconds Busy{0};
   base::log_position Position = 0;
@@ -147,9 +147,9 @@
   base::task<void> shipPause(base::log_position Next);
 
   // Faults.
-  base::task<bool> letIn(database_connection &Connection, peer From);
-  base::task<bool> letOut(database_connection &Connection, peer To);
-  base::task<void> hang();
+  base::task<bool> passInbound(database_connection &Connection, peer From);
+  base::task<bool> passOutbound(database_connection &Connection, peer To);
+  base::task<void> waitForFaultChange();
   bool isSilent(const database_connection &Connection) const;
   void disconnect(database_connection &Connection);
 
--- a/tests/standins/endpoint/faults.cpp
+++ b/tests/standins/endpoint/faults.cpp
@@ -26,13 +26,13 @@
         {endpoint_fault_kind::None, "none"},
     });
 
-bool names(const cut_path &Path, const peer &Peer) {
+bool matches(const cut_path &Path, const peer &Peer) {
   if (Path.Peer == "all" || Path.Peer == Peer.Name)
     return true;
   return Path.Peer == (Peer.IsEndpoint ? "endpoints" : "instances");
 }
 
-void clear(endpoint_faults &Faults) {
+void resetFaults(endpoint_faults &Faults) {
   Faults.Paused = false;
   Faults.Cuts.clear();
   Faults.SilentUpTo = 0;
@@ -44,13 +44,13 @@
 
 bool arrives(const endpoint_faults &Faults, const peer &From) {
   return std::ranges::none_of(Faults.Cuts, [&](const cut_path &Path) {
-    return Path.In && names(Path, From);
+    return Path.In && matches(Path, From);
   });
 }
 
 bool leaves(const endpoint_faults &Faults, const peer &To) {
   return std::ranges::none_of(Faults.Cuts, [&](const cut_path &Path) {
-    return Path.Out && names(Path, To);
+    return Path.Out && matches(Path, To);
   });
 }
 
@@ -93,7 +93,7 @@
     Faults.Work = Time;
     return;
   case endpoint_fault_kind::None:
-    clear(Faults);
+    resetFaults(Faults);
     return;
   }
 }
--- a/tests/standins/endpoint/replica.cpp
+++ b/tests/standins/endpoint/replica.cpp
@@ -42,15 +42,15 @@
 
 /// Guards against two orders for one term: both would make a primary, and an
 /// acknowledged write of one would be missing in the other.
-bool mayEnter(const replica &Replica, base::term_number Term,
-              const std::string &Order) {
+bool mayEnterTerm(const replica &Replica, base::term_number Term,
+                  const std::string &Order) {
   if (Term == Replica.Term)
     return Order == Replica.Order;
   return Term > Replica.Term;
 }
 
-void enter(replica &Replica, base::term_number Term, const std::string &Order,
-           endpoint_role Role) {
+void enterTerm(replica &Replica, base::term_number Term,
+               const std::string &Order, endpoint_role Role) {
   Replica.Term = Term;
   Replica.Order = Order;
   Replica.Role = Role;
@@ -73,23 +73,23 @@
 }
 
 bool seal(replica &Replica, base::term_number Term, const std::string &Order) {
-  if (!mayEnter(Replica, Term, Order))
+  if (!mayEnterTerm(Replica, Term, Order))
     return false;
   // A late copy of the seal must not stop the primary that the same order has
   // made since.
   if (Term == Replica.Term)
     return true;
-  enter(Replica, Term, Order, endpoint_role::Sealed);
+  enterTerm(Replica, Term, Order, endpoint_role::Sealed);
   return true;
 }
 
 bool promote(replica &Replica, base::term_number Term,
              const std::string &Order) {
-  if (!mayEnter(Replica, Term, Order))
+  if (!mayEnterTerm(Replica, Term, Order))
     return false;
   if (Term == Replica.Term && Replica.Role != endpoint_role::Sealed)
     return Replica.Role == endpoint_role::Primary;
-  enter(Replica, Term, Order, endpoint_role::Primary);
+  enterTerm(Replica, Term, Order, endpoint_role::Primary);
   Replica.History.push_back({Term, Replica.Log.size()});
   Replica.Verified = true;
   return true;
@@ -97,11 +97,11 @@
 
 bool follow(replica &Replica, base::term_number Term,
             const std::string &Order) {
-  if (!mayEnter(Replica, Term, Order))
+  if (!mayEnterTerm(Replica, Term, Order))
     return false;
   if (Term == Replica.Term && Replica.Role != endpoint_role::Sealed)
     return Replica.Role == endpoint_role::Replica;
-  enter(Replica, Term, Order, endpoint_role::Replica);
+  enterTerm(Replica, Term, Order, endpoint_role::Replica);
   Replica.Verified = false;
   return true;
 }
--- a/tests/standins/endpoint/runs.cpp
+++ b/tests/standins/endpoint/runs.cpp
@@ -43,11 +43,11 @@
   if (auto Fault = checkShape(Connection, Request))
     co_return refuse(*Fault);
   run_progress Progress;
-  Progress.Alone = !Connection.Transaction && !Request.Begin;
+  Progress.AutoCommit = !Connection.Transaction && !Request.Begin;
   Progress.Request = std::move(Request);
-  const base::instant GiveUp = base::now() + LockTimeout;
+  const base::instant LockDeadline = base::now() + LockTimeout;
   attempt Outcome = attempt::Locked;
-  while (Outcome == attempt::Locked && base::now() < GiveUp) {
+  while (Outcome == attempt::Locked && base::now() < LockDeadline) {
     Outcome = co_await tryInSlot(Connection, Progress, Refusal);
     if (Outcome == attempt::Locked)
       co_await pause(Executor, LockRetry);
@@ -85,7 +85,7 @@
 base::task<attempt> endpoint_standin::tryInSlot(database_connection &Connection,
                                                 run_progress &Progress,
                                                 run_refusal &Refusal) {
-  co_await Slots.take();
+  co_await Slots.acquire();
   ++Counters.Running;
   Counters.MaxRunning = std::max(Counters.MaxRunning, Counters.Running);
   const base::instant Start = base::now();
@@ -95,7 +95,7 @@
   const attempt Outcome = tryRun(Connection, Progress, Refusal);
   Progress.Busy += base::now() - Start;
   --Counters.Running;
-  Slots.give();
+  Slots.release();
   co_return Outcome;
 }
 
@@ -116,7 +116,7 @@
     if (Result.Status != sql_status::Ok) {
       const attempt Outcome = failedAttempt(Result, Refusal);
       // Alone, nothing is kept while it waits, so that nobody waits for it.
-      if (Progress.Alone) {
+      if (Progress.AutoCommit) {
         abandon(Connection);
         Progress.Results.clear();
       }
@@ -161,7 +161,7 @@
     abandon(Connection);
     return attempt::Finished;
   }
-  if (!Progress.Alone && !Progress.Request.Commit)
+  if (!Progress.AutoCommit && !Progress.Request.Commit)
     return attempt::Finished;
   const sql_status Status = Connection.Handle->commit();
   if (Status != sql_status::Ok)
--- a/tests/standins/endpoint_test.cpp
+++ b/tests/standins/endpoint_test.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr std::chrono::seconds Patience{20};
+constexpr std::chrono::seconds ExchangeTimeout{20};
 constexpr const char *Caller = "test";
 
 /// One endpoint of group "g" behind its server.
@@ -37,11 +37,11 @@
   http::address Address;
 };
 
-base::instant soon() { return base::now() + Patience; }
+base::instant exchangeDeadline() { return base::now() + ExchangeTimeout; }
 
 base::task<void> connect(client &Client) {
   const auto Connected = co_await data::connectEndpoint(
-      Client.Client, Client.Address, Caller, soon());
+      Client.Client, Client.Address, Caller, exchangeDeadline());
   cr_assert(Connected.has_value());
 }
 
@@ -52,7 +52,8 @@
 }
 
 base::task<data::run_result> ask(client &Client, data::run_request Request) {
-  co_return co_await data::run(Client.Client, Request, Caller, soon());
+  co_return co_await data::run(Client.Client, Request, Caller,
+                               exchangeDeadline());
 }
 
 /// Runs what must succeed.
@@ -71,12 +72,13 @@
   co_return Rows.at(0).at(0).as_int64();
 }
 
-base::task<void> command(client &Client, std::string Target,
-                         boost::json::object Body) {
+base::task<void> sendCommand(client &Client, std::string Target,
+                             boost::json::object Body) {
   http::request Request;
   Request.Target = std::move(Target);
   Request.Body = boost::json::serialize(Body);
-  const auto Answer = co_await Client.Client.exchange(Request, soon());
+  const auto Answer =
+      co_await Client.Client.exchange(Request, exchangeDeadline());
   cr_assert(Answer.has_value() && Answer->Status == standin::StatusOk);
 }
 
@@ -108,18 +110,18 @@
   std::unique_ptr<node> Primary;
 };
 
-using story = base::task<void> (*)(group &);
+using scenario = base::task<void> (*)(group &);
 
-/// Runs \p Story to its end. Stories are named functions: g++ 12 gives a lambda
-/// coroutine in a test of Criterion a symbol that the assembler refuses.
-void play(story Story, bool WithReplica = false) {
+/// Runs \p Scenario to its end. Scenarios are named functions: g++ 12 gives a
+/// lambda coroutine in a test of Criterion a symbol that the assembler refuses.
+void runScenario(scenario Scenario, bool WithReplica = false) {
   group Group(WithReplica);
   bool Done = false;
   const auto Finished = [&](std::exception_ptr Error) {
     Done = Error == nullptr;
     Group.Context.stop();
   };
-  asio::co_spawn(Group.Context, Story(Group), Finished);
+  asio::co_spawn(Group.Context, Scenario(Group), Finished);
   Group.Context.run();
   cr_assert(Done);
 }
@@ -135,7 +137,7 @@
   cr_assert(Written.Position == 2);
   const data::status_request Wait{2, 1, 20s};
   const auto State =
-      co_await data::status(Replica.Client, Wait, Caller, soon());
+      co_await data::status(Replica.Client, Wait, Caller, exchangeDeadline());
   cr_assert(State && State->Received == 2);
   while (co_await countRows(Replica) != 1) {
   }
@@ -164,8 +166,8 @@
   Insert.Begin = true;
   const auto Begun = co_await succeed(Caller, std::move(Insert));
   cr_assert(Begun.InTransaction);
-  const auto Sealed =
-      co_await data::seal(Orders.Client, 2, "order", "test", soon());
+  const auto Sealed = co_await data::seal(Orders.Client, 2, "order", "test",
+                                          exchangeDeadline());
   cr_assert(Sealed && Sealed->Role == data::endpoint_role::Sealed);
   data::run_request Commit;
   Commit.Commit = true;
@@ -205,11 +207,11 @@
   co_await connect(*First);
   co_await connect(Second);
   const auto Refused = co_await data::connectEndpoint(
-      Third.Client, Third.Address, Caller, soon());
+      Third.Client, Third.Address, Caller, exchangeDeadline());
   cr_assert(kindOf(Refused.error()) == base::errc::ConnectionLimit);
   First.reset();
   while (!co_await data::connectEndpoint(Third.Client, Third.Address, Caller,
-                                         soon())) {
+                                         exchangeDeadline())) {
   }
 }
 
@@ -219,7 +221,7 @@
   co_await connect(Lost);
   co_await connect(Other);
   const boost::json::object Fault{{"kind", "lose_answer"}};
-  co_await command(Other, "/admin/fault", Fault);
+  co_await sendCommand(Other, "/admin/fault", Fault);
   const auto Result = co_await ask(Lost, running("insert into bag values(1)"));
   cr_assert(kindOf(Result.Failed.Failure) == base::errc::OutcomeUnknown);
   cr_assert(co_await countRows(Other) == 1);
@@ -228,29 +230,29 @@
 } // namespace
 
 Test(endpoint, a_write_reaches_the_replica_which_confirms_it) {
-  play(writeReachesReplica, true);
+  runScenario(writeReachesReplica, true);
 }
 
 Test(rule_4, a_run_is_refused_outside_the_expected_term) {
-  play(runInAnotherTerm);
+  runScenario(runInAnotherTerm);
 }
 
 // A caller has a transaction open when the primary is sealed. Its commit must
 // not succeed afterwards, and a new transaction must not either.
 Test(rule_2, a_transaction_that_is_open_at_the_seal_does_not_commit) {
-  play(commitAfterSeal);
+  runScenario(commitAfterSeal);
 }
 
 // Two callers count the bags, then each adds one if there are none. Run one
 // after the other, one bag results; so must it when they run at once.
 Test(rule_5, transactions_at_once_give_the_result_of_one_after_the_other) {
-  play(writeAtOnce);
+  runScenario(writeAtOnce);
 }
 
 Test(endpoint, connections_are_limited_and_a_closed_one_makes_room) {
-  play(connectUpToTheLimit);
+  runScenario(connectUpToTheLimit);
 }
 
 // The caller is told nothing about a write that took effect: the endpoint's
 // answer is lost on the way.
-Test(endpoint, a_lost_answer_leaves_its_effect) { play(loseAnAnswer); }
+Test(endpoint, a_lost_answer_leaves_its_effect) { runScenario(loseAnAnswer); }
--- a/tests/standins/native/simulated_platform.cpp
+++ b/tests/standins/native/simulated_platform.cpp
@@ -40,7 +40,7 @@
       PromotionServer(Context.get_executor(), {},
                       [this](http::connection &, http::request Request)
                           -> base::task<http::response> {
-                        co_return promoteOne(Request);
+                        co_return handlePromotion(Request);
                       }) {
   Group.Service = "s";
   for (const char *Name : {"d1", "d2", "d3"}) {
@@ -52,7 +52,7 @@
   for (const simulated_database &Database : Group.Databases) {
     Servers.push_back(std::make_unique<database_server>(Context.get_executor(),
                                                         Group, Database.Name));
-    list(Database);
+    publish(Database);
   }
   const http::address Any{"127.0.0.1", 0};
   StoreAddress = StoreServer.listen(Any).value();
@@ -82,7 +82,7 @@
   Done.get_future().wait();
 }
 
-void simulated_platform::list(const simulated_database &Database) {
+void simulated_platform::publish(const simulated_database &Database) {
   for (const auto &Server : Servers) {
     const std::size_t Index = &Server - Servers.data();
     if (Group.Databases[Index].Name != Database.Name)
@@ -125,7 +125,8 @@
                 {"tenants", json::array{Customer}}}));
 }
 
-http::response simulated_platform::promoteOne(const http::request &Request) {
+http::response
+simulated_platform::handlePromotion(const http::request &Request) {
   const json::value Body = json::parse(Request.Body);
   const std::string Name(Body.at("identifier").as_string());
   Promotions.push_back({Name, Request.From});
@@ -135,7 +136,7 @@
     Response.Status = Conflict;
   for (const simulated_database &Database : Group.Databases)
     if (!Database.Down)
-      list(Database);
+      publish(Database);
   return Response;
 }
 
@@ -152,7 +153,7 @@
   runOnThread([&](simulated_platform &World) {
     simulated_database *Database = findDatabase(World.Group, Name);
     Database->Draining = true;
-    list(*Database);
+    publish(*Database);
   });
 }
 
--- a/tests/standins/native/simulated_platform.hpp
+++ b/tests/standins/native/simulated_platform.hpp
@@ -60,8 +60,8 @@
   /// @}
 
 private:
-  void list(const simulated_database &Database);
-  http::response promoteOne(const http::request &Request);
+  void publish(const simulated_database &Database);
+  http::response handlePromotion(const http::request &Request);
 
   boost::asio::io_context Context;
   std::vector<std::unique_ptr<database_server>> Servers;
--- a/tests/storage/own_protocol_test.cpp
+++ b/tests/storage/own_protocol_test.cpp
@@ -45,11 +45,11 @@
   standin::throttled_proxy Proxy(Executor, Address);
   // Twice the longest silence for the whole row, a twentieth for a chunk.
   constexpr std::size_t BytesPerSecond = 100'000;
-  constexpr base::milliseconds Silence{4000};
+  constexpr base::milliseconds StallTimeout{4000};
   constexpr base::milliseconds Long{60'000};
   Proxy.setSpeed(BytesPerSecond);
   storage::store Direct{Executor, Address, "i1", Long};
-  storage::store Slow{Executor, Proxy.address(), "i1", Silence};
+  storage::store Slow{Executor, Proxy.address(), "i1", StallTimeout};
   std::string Value;
   asio::co_spawn(Context, writeThenRead(Direct, Slow, Value),
                  [&](const std::exception_ptr &) { Context.stop(); });
