--- a/packages/base/include/redwinggw/base/base64.hpp
+++ b/packages/base/include/redwinggw/base/base64.hpp
@@ -6,10 +6,10 @@
 
 namespace redwinggw::base {
 
-/// \p Bytes in base64 with padding. Thread safe.
+/// Encodes \p Bytes in base64 with padding. Thread safe.
 std::string toBase64(std::string_view Bytes);
 
-/// What toBase64 was given; nothing for what is not base64. Thread safe.
+/// Decodes padded base64; nothing if \p Text is not valid. Thread safe.
 std::optional<std::string> fromBase64(std::string_view Text);
 
 } // namespace redwinggw::base
--- a/packages/base/include/redwinggw/base/bounded_output.hpp
+++ b/packages/base/include/redwinggw/base/bounded_output.hpp
@@ -4,20 +4,21 @@
 #include <string>
 #include <string_view>
 
-/// Lines to a descriptor that may be a full pipe: never blocks, bounded.
+/// Buffered line output to a descriptor. Never blocks, also when the descriptor
+/// is a full pipe; the buffer is bounded.
 namespace redwinggw::base {
 
 /// Not thread safe.
 class bounded_output {
 public:
-  /// Lines beyond \p Capacity bytes that wait are dropped and counted; the
-  /// count is told in a line of its own once there is room again.
+  /// Lines that do not fit into the \p Capacity bytes of the buffer are dropped
+  /// and counted; a separate line reports the count once there is room again.
   explicit bounded_output(int Descriptor,
                           std::size_t Capacity = std::size_t{256} * 1024);
 
   void add(std::string_view Line);
 
-  /// Writes what waits, as far as the descriptor takes it now.
+  /// Writes as much of the buffer as the descriptor accepts without blocking.
   void flush();
 
   std::uint64_t dropped() const { return Dropped; }
--- a/packages/base/include/redwinggw/base/enum_table.hpp
+++ b/packages/base/include/redwinggw/base/enum_table.hpp
@@ -8,7 +8,7 @@
 /// Tables that pair the values of an `enum class` with their names.
 namespace redwinggw::base {
 
-/// One row of a table of names.
+/// One row of such a table.
 template <typename Enum> struct enum_name {
   Enum Value;
   std::string_view Name;
--- a/packages/base/include/redwinggw/base/error.hpp
+++ b/packages/base/include/redwinggw/base/error.hpp
@@ -7,18 +7,18 @@
 #include <string_view>
 #include <system_error>
 
-/// Typed errors. Each kind carries a name that stays the same over releases,
-/// what happened, what to do about it, and what it says about the request.
+/// Typed errors. Each kind has a name that is stable across releases, a
+/// message, a remedy, and the outcome that it implies for the request.
 namespace redwinggw::base {
 
-/// What an error proves about the request it answers.
+/// What is known about whether a request took effect.
 enum class outcome {
   Done,    ///< The request ran and its effect is kept.
-  NotRun,  ///< Proved: the request had no effect and will have none.
-  Unknown, ///< It may have run; the caller finds out by its request id.
+  NotRun,  ///< The request certainly had no effect and will have none.
+  Unknown, ///< It may have run; the caller can query it by its request id.
 };
 
-/// The kinds of failure that leave a process. Zero is success.
+/// The kinds of error that are reported outside the process. Zero is success.
 enum class errc {
   Ok = 0,
   BadRequest,
@@ -70,17 +70,17 @@
 /// The name of \p Value: "done", "not_run" or "unknown". Thread safe.
 std::string_view outcomeName(outcome Value);
 
-/// The category behind std::error_code of errc. Thread safe.
+/// The std::error_category of errc. Thread safe.
 const std::error_category &errorCategory();
 
 std::error_code make_error_code(errc Code);
 
-/// An error with what is particular to this occurrence.
+/// An error kind with the details of one occurrence.
 struct failure {
   std::error_code Code;
-  /// Names and numbers of the occurrence; never a key or statement text.
+  /// Names and numbers that identify the cause; never a key or statement text.
   std::string Detail;
-  /// When a repeat makes sense; zero when the remedy is another one.
+  /// Delay after which a retry can succeed; zero if retrying is no remedy.
   std::chrono::milliseconds RetryAfter{0};
 
   failure() = default;
@@ -95,14 +95,14 @@
 /// The kind of \p Failure; errc::Internal for codes of other categories.
 errc kindOf(const failure &Failure);
 
-/// "name: message; detail; remedy" for people.
+/// "name: message (detail); remedy", for human readers.
 std::string describe(const failure &Failure);
 
 /// Lets result<T>::value() throw std::system_error.
 [[noreturn]] void throw_exception_from_error(const failure &Failure,
                                              const boost::source_location &);
 
-/// A value or the failure that took its place.
+/// A value, or the failure that prevented it.
 template <typename Value> using result = boost::system::result<Value, failure>;
 
 } // namespace redwinggw::base
--- a/packages/base/include/redwinggw/base/hybrid_clock.hpp
+++ b/packages/base/include/redwinggw/base/hybrid_clock.hpp
@@ -5,43 +5,46 @@
 #include <compare>
 #include <cstdint>
 
-/// Hybrid logical clock: times that follow the wall clock closely and never
-/// contradict the order of cause and effect between instances. For the time
-/// line and for people only; leases count on base::instant.
+/// Hybrid logical clock: timestamps that stay close to the wall clock and
+/// respect causal order between instances. Used only for the timeline and for
+/// display; leases are measured with base::instant.
 namespace redwinggw::base {
 
-/// A point in the fleet's order of events. Instances may have equal times for
-/// events that do not depend on each other.
+/// A timestamp in the fleet's order of events. Causally independent events of
+/// different instances may have equal timestamps.
 struct hybrid_time {
-  /// Milliseconds since 1970.
+  /// Milliseconds since the Unix epoch.
   std::int64_t Wall = 0;
-  /// Orders events of one millisecond.
+  /// Orders events within one millisecond.
   std::uint32_t Count = 0;
 
   friend auto operator<=>(const hybrid_time &, const hybrid_time &) = default;
 };
 
-/// One instance's clock. Not thread safe.
+/// The clock of one instance. Not thread safe.
 struct hybrid_clock {
   hybrid_time Last;
-  /// A peer further ahead of the own wall clock than this is not believed.
+  /// A peer's timestamp further ahead of the local wall clock than this is
+  /// ignored.
   milliseconds MaxDrift{1000};
 };
 
-/// The time of a local event or of a message about to be sent; greater than
-/// each time given before, also when \p WallMs stepped back.
+/// Returns the timestamp of a local event or of a message about to be sent. It
+/// is greater than every timestamp returned before, even if \p WallMs went
+/// backwards.
 hybrid_time tick(hybrid_clock &Clock, std::int64_t WallMs);
 
-/// What merge made of a received time.
+/// Result of merging a received timestamp.
 struct merged_time {
   hybrid_time Time;
-  /// False when the sender's clock was too far ahead and was left out, so
-  /// that Time is not ordered after the sender's.
+  /// False if the sender's timestamp was too far ahead and was ignored; Time is
+  /// then not ordered after it.
   bool PeerAccepted = true;
 };
 
-/// The time of the receipt of a message sent at \p Received; greater than each
-/// time given before and, unless the peer is not believed, than \p Received.
+/// Returns the timestamp of the receipt of a message sent at \p Received. It is
+/// greater than every timestamp returned before and, if the peer's timestamp
+/// was accepted, than \p Received.
 merged_time merge(hybrid_clock &Clock, const hybrid_time &Received,
                   std::int64_t WallMs);
 
--- a/packages/base/include/redwinggw/base/metrics.hpp
+++ b/packages/base/include/redwinggw/base/metrics.hpp
@@ -10,11 +10,12 @@
 #include <string_view>
 #include <vector>
 
-/// Metrics of one process, in memory until asked for. A handle is looked up
-/// once and kept; counting is then one addition. Not thread safe.
+/// Metrics of one process, kept in memory and exported on request. Callers look
+/// up a series once and keep the reference; counting is then one addition. Not
+/// thread safe.
 namespace redwinggw::base {
 
-/// Every metric there is; metricTable() names and explains each.
+/// All metrics; metricTable() names and describes each.
 enum class metric {
   RequestsTotal,
   RefusalsTotal,
@@ -62,7 +63,7 @@
   /// Names of the labels, separated by commas.
   std::string_view Labels;
   std::string_view Help;
-  /// What an operator does when the value is off.
+  /// What an operator does when the value is abnormal.
   std::string_view WhenOff;
 };
 
@@ -72,7 +73,7 @@
 /// The names of all metrics. Thread safe.
 std::vector<std::string_view> names();
 
-/// The page docs/METRICS.md, made from the table. Thread safe.
+/// The text of docs/METRICS.md, generated from the table. Thread safe.
 std::string metricsPage();
 
 struct counter {
@@ -83,8 +84,8 @@
   double Value = 0;
 };
 
-/// Durations on a logarithmic axis from 10 us to 60 s, by Boost.Histogram.
-/// Shorter and longer ones are counted at the ends.
+/// Durations in logarithmic bins from 10 us to 60 s, using Boost.Histogram.
+/// Shorter and longer ones are counted at the ends of this range.
 class histogram {
 public:
   explicit histogram(unsigned BinsPerDecade = DefaultBinsPerDecade);
@@ -110,17 +111,18 @@
 /// Sum of the durations observed.
 microseconds sumOf(const histogram &Histogram);
 
-/// The duration below which the share \p Quantile (0 to 1) lies, within one
-/// bin; zero when nothing was observed.
+/// Estimates the quantile \p Quantile (0 to 1), with an error of at most one
+/// bin; zero if nothing was observed.
 microseconds quantile(const histogram &Histogram, double Quantile);
 
-/// Adds the observations of \p From, which has the same bins.
+/// Adds the observations of \p From to \p To. Precondition: the same bins.
 void mergeInto(histogram &To, const histogram &From);
 
-/// Values of a metric's labels, in the order of its row.
+/// Values of a metric's labels, in the order of its row in metricTable().
 using label_values = std::vector<std::string>;
 
-/// All series of a process. References to series stay valid while it lives.
+/// All series of a process. References to a series stay valid as long as this
+/// object exists.
 struct metrics {
   template <typename Value> using series = std::map<label_values, Value>;
   std::map<metric, series<counter>> Counters;
@@ -128,17 +130,19 @@
   std::map<metric, series<histogram>> Histograms;
 };
 
-/// The series of \p Metric with these label values, made at the first call.
+/// Returns the series of \p Metric with these label values; the first call
+/// creates it.
 /// Preconditions: \p Metric is of that kind; one value for each label.
 counter &counterOf(metrics &Metrics, metric Metric, label_values Labels = {});
 gauge &gaugeOf(metrics &Metrics, metric Metric, label_values Labels = {});
 histogram &histogramOf(metrics &Metrics, metric Metric,
                        label_values Labels = {});
 
-/// All series in the text format of Prometheus.
+/// All series in the Prometheus text format.
 std::string toPrometheus(const metrics &Metrics);
 
-/// Sets the gauges of the process itself (CPU, memory) from /proc/self.
+/// Updates the gauges of the process itself: CPU time, resident memory (from
+/// /proc/self) and uptime.
 void observeProcess(metrics &Metrics);
 
 } // namespace redwinggw::base
--- a/packages/base/include/redwinggw/base/socket_options.hpp
+++ b/packages/base/include/redwinggw/base/socket_options.hpp
@@ -1,16 +1,17 @@
 #pragma once
 
-/// TCP connections that are kept open, and that others may lose track of.
+/// Options and checks for long-lived TCP connections.
 namespace redwinggw::base {
 
-/// Sends small messages at once, and lets unacknowledged bytes and unanswered
-/// probes end the connection: something between the two ends may have lost
-/// track of it without a reset, and it would stay silent for good.
+/// Enables TCP keepalive and a limit on unacknowledged data, so that a dead
+/// connection is closed: a middlebox between the two ends may have dropped its
+/// state without a reset, after which the connection would stay silent forever.
+/// Also disables Nagle's algorithm, so that small messages are sent at once.
 /// \p NativeHandle is that of an open socket. Thread safe.
 void detectDeadPeer(int NativeHandle);
 
-/// Whether the other end of a TCP connection has neither closed it nor sent
-/// anything that is unread. \p NativeHandle is that of an open socket. Thread
+/// Whether the peer of a TCP connection has neither closed it nor sent data
+/// that is still unread. \p NativeHandle is that of an open socket. Thread
 /// safe.
 bool isQuiet(int NativeHandle);
 
--- a/packages/base/include/redwinggw/base/task.hpp
+++ b/packages/base/include/redwinggw/base/task.hpp
@@ -2,10 +2,11 @@
 
 #include <boost/asio/awaitable.hpp>
 
-/// Coroutines of the I/O shells. Decisions never use them.
+/// Coroutines for code that does I/O. Decision logic never uses them.
 namespace redwinggw::base {
 
-/// A coroutine that yields \p Value. It runs on the one thread of its process.
+/// A coroutine that returns \p Value. It runs on the single thread of its
+/// process.
 template <typename Value> using task = boost::asio::awaitable<Value>;
 
 } // namespace redwinggw::base
--- a/packages/base/include/redwinggw/base/timeline.hpp
+++ b/packages/base/include/redwinggw/base/timeline.hpp
@@ -10,8 +10,8 @@
 #include <string_view>
 #include <vector>
 
-/// The time line: what one instance did, in a bounded buffer, and the time
-/// lines of several instances merged in causal order. Events hold names and
+/// The timeline: the recent events of one instance in a bounded buffer, and the
+/// timelines of several instances merged in causal order. Events hold names and
 /// numbers only, never a key, statement text or parameter.
 namespace redwinggw::base {
 
@@ -27,12 +27,12 @@
   OutcomeUnknown,
   TransactionBegun,
   TransactionEnded,
-  SessionCovered, ///< A replica was found to cover a session token, or not.
+  SessionCovered, ///< Whether a replica covers a session token was checked.
   EndpointConnected,
   EndpointClosed,
   EndpointLeaving,
   FailoverSuspected,
-  FailoverClaimed, ///< The store accepted this instance's order.
+  FailoverClaimed, ///< The store accepted this instance's failover order.
   FailoverSealed,
   FailoverPromoted,
   FailoverFollowed,
@@ -69,7 +69,7 @@
   event_kind Kind = event_kind::InstanceStarted;
   /// The caller's request id; empty when the event belongs to no request.
   std::string RequestId;
-  /// What it happened to: a customer, group, endpoint, instance or version.
+  /// What the event concerns: a customer, group, endpoint, instance or version.
   std::string Subject;
   std::string Detail;
 
@@ -77,36 +77,36 @@
                          const timeline_event &) = default;
 };
 
-/// The last events of one instance. Not thread safe.
+/// The most recent events of one instance. Not thread safe.
 struct timeline {
   explicit timeline(instance_name Instance, std::size_t Capacity = 4096)
       : Instance(std::move(Instance)), Capacity(Capacity) {}
 
   instance_name Instance;
-  /// Events kept; the oldest go first.
+  /// Maximum number of events; the oldest are overwritten first.
   std::size_t Capacity;
   hybrid_clock Clock;
-  /// A ring: the event with number N stands at N % Capacity.
+  /// Ring buffer: event number N is stored at N % Capacity.
   std::vector<timeline_event> Ring;
   /// Number of events recorded so far.
   std::uint64_t Recorded = 0;
 };
 
-/// Adds \p Event as it is; texts over 64 bytes are cut.
+/// Adds \p Event unchanged, except that texts over 64 bytes are truncated.
 void record(timeline &Line, timeline_event Event);
 
 /// Adds an event of this instance at the clock's next time.
-/// \p WallMs is base::wallMilliseconds() of the shell.
+/// \p WallMs is base::wallMilliseconds() as read by the caller.
 void record(timeline &Line, std::int64_t WallMs, event_kind Kind,
             std::string_view Subject, std::string_view Detail = {},
             std::string_view RequestId = {});
 
-/// The kept events from number \p From on, oldest first.
+/// The events still in the buffer, starting at number \p From, oldest first.
 std::vector<timeline_event> eventsOf(const timeline &Line,
                                      std::uint64_t From = 0);
 
-/// The events of several instances in one causal order: no effect stands
-/// before its cause as far as the instances' messages carried hybrid times.
+/// Merges the events of several instances in causal order: no effect precedes
+/// its cause, provided that the messages between them carried hybrid times.
 std::vector<timeline_event>
 mergeTimelines(std::vector<std::vector<timeline_event>> Lines);
 
@@ -117,8 +117,8 @@
 /// Reads what toJson wrote. Fails with errc::BadMessage.
 result<std::vector<timeline_event>> eventsFromJson(std::string_view Text);
 
-/// The trace format of Chrome (chrome://tracing, Perfetto): a process an
-/// instance, a span a request, an instant each other event.
+/// Exports to the Chrome trace format (chrome://tracing, Perfetto): one process
+/// per instance, one span per request, one instant event for each other event.
 std::string toChromeTrace(const std::vector<timeline_event> &Events);
 
 } // namespace redwinggw::base
--- a/packages/base/src/base64.cpp
+++ b/packages/base/src/base64.cpp
@@ -7,7 +7,7 @@
 namespace redwinggw::base {
 namespace {
 
-/// Three bytes become four characters.
+/// Base64 encodes each group of three bytes as four characters.
 constexpr std::size_t GroupBytes = 3;
 constexpr std::size_t GroupCharacters = 4;
 
@@ -36,7 +36,7 @@
                       unsignedBegin(Text), static_cast<int>(Text.size()));
   if (Size < 0)
     return std::nullopt;
-  // The padding decodes into zero bytes that nobody encoded.
+  // EVP_DecodeBlock decodes padding into zero bytes, which are removed here.
   const std::size_t Tail = std::min(MaxPadding, Text.size());
   const auto Padding = static_cast<std::size_t>(
       std::ranges::count(Text.substr(Text.size() - Tail), '='));
--- a/packages/base/src/bounded_output.cpp
+++ b/packages/base/src/bounded_output.cpp
@@ -8,7 +8,8 @@
 namespace redwinggw::base {
 namespace {
 
-/// A write of up to this size to a pipe that has room does not block.
+/// Once poll reports a pipe writable, a write of up to this size does not
+/// block.
 constexpr std::size_t AtomicWrite = 4096;
 
 bool isWritable(int Descriptor) {
--- a/packages/base/src/histogram_bins.hpp
+++ b/packages/base/src/histogram_bins.hpp
@@ -4,13 +4,13 @@
 
 namespace redwinggw::base {
 
-/// Number of observations up to a bound.
+/// Number of observations up to an upper bound.
 struct cumulative_bin {
   double UpperMicroseconds = 0;
   std::uint64_t Count = 0;
 };
 
-/// Ascending bounds, about four a decade; without the last, infinite one.
+/// Bins with ascending bounds, about four per decade, without the infinite one.
 std::vector<cumulative_bin> cumulativeBins(const histogram &Histogram);
 
 } // namespace redwinggw::base
--- a/packages/base/src/hybrid_clock.cpp
+++ b/packages/base/src/hybrid_clock.cpp
@@ -21,9 +21,9 @@
 
 merged_time merge(hybrid_clock &Clock, const hybrid_time &Received,
                   std::int64_t WallMs) {
-  // Guards against one instance with a wrong wall clock: it would carry the
-  // whole fleet's time line into the future, for good. Its time is left out,
-  // so the other instances keep to their own wall clocks.
+  // Guards against one instance with a wrong wall clock, which would move the
+  // timestamps of the whole fleet into the future permanently. Its timestamp is
+  // ignored, so the other instances stay close to their own wall clocks.
   if (Received.Wall > WallMs + Clock.MaxDrift.count())
     return {tick(Clock, WallMs), false};
   Clock.Last = std::max(Clock.Last, Received);
--- a/packages/base/src/log.cpp
+++ b/packages/base/src/log.cpp
@@ -74,7 +74,7 @@
   return Out;
 }
 
-/// Hands lines to the bounded output.
+/// Log sink that writes lines to the bounded output.
 struct output_backend : boost::log::sinks::basic_formatted_sink_backend<
                             char, boost::log::sinks::synchronized_feeding> {
   static void consume(const boost::log::record_view &,
--- a/packages/base/src/metrics.cpp
+++ b/packages/base/src/metrics.cpp
@@ -15,7 +15,8 @@
 
 constexpr double MicrosecondsASecond = 1e6;
 
-/// \p Precision is the number of significant digits; 15 keep integers whole.
+/// \p Precision is the number of significant digits; 15 represent integers
+/// exactly.
 std::string numberText(double Value, int Precision = 15) {
   constexpr std::size_t Digits = 32;
   std::array<char, Digits> Buffer{};
@@ -25,13 +26,13 @@
   return {Buffer.data(), End};
 }
 
-/// Bounds are rounded so that they read well and stay the same over builds.
+/// Bounds are rounded to be readable and identical across builds.
 std::string boundText(double Microseconds) {
   constexpr int BoundPrecision = 4;
   return numberText(Microseconds / MicrosecondsASecond, BoundPrecision);
 }
 
-/// Escapes as the text format asks.
+/// Escapes a label value as the Prometheus text format requires.
 std::string escaped(std::string_view Value) {
   std::string Out;
   for (const char Character : Value) {
@@ -124,7 +125,7 @@
          static_cast<double>(Time.tv_usec) / MicrosecondsASecond;
 }
 
-/// Second field of /proc/self/statm: resident pages.
+/// Resident memory, from the second field of /proc/self/statm (pages).
 double residentBytes() {
   std::ifstream File("/proc/self/statm");
   double Total = 0;
--- a/packages/base/src/socket_options.cpp
+++ b/packages/base/src/socket_options.cpp
@@ -9,15 +9,16 @@
 namespace redwinggw::base {
 namespace {
 
-/// Times after which a silent connection is given up: several round trips
-/// between availability zones, and well under a statement's timeout.
+/// Timeouts after which an unresponsive connection is closed: several round
+/// trips between availability zones, and well under a statement's timeout.
 constexpr int UnacknowledgedMs = 1500;
 constexpr int ProbeAfterSeconds = 1;
 constexpr int ProbeEverySeconds = 1;
 constexpr int ProbesLost = 2;
 
 void setOption(int Socket, int Level, int Name, int Value) {
-  // Without the option the exchange's own deadline still ends it, only later.
+  // A failure is ignored: the deadline of the request still applies, only
+  // later.
   (void)::setsockopt(Socket, Level, Name, &Value, sizeof(Value));
 }
 
--- a/packages/base/src/time.cpp
+++ b/packages/base/src/time.cpp
@@ -14,7 +14,7 @@
 }
 
 std::chrono::steady_clock::time_point timerPoint(instant Instant) {
-  // Instants far in the future stand for "never" and must not overflow.
+  // Clamped because instants far in the future mean "never" and would overflow.
   constexpr std::chrono::hours Longest{24 * 365};
   const microseconds Left =
       std::clamp<microseconds>(Instant - now(), -Longest, Longest);
--- a/packages/base/src/timeline_export.cpp
+++ b/packages/base/src/timeline_export.cpp
@@ -37,7 +37,7 @@
   const json::object &Object = Value.as_object();
   const auto Kind = eventNamed(textAt(Object, "kind"));
   if (!Kind)
-    throw std::invalid_argument("unknown kind of event");
+    throw std::invalid_argument("unknown event kind");
   return {{Object.at("wall_ms").to_number<std::int64_t>(),
            Object.at("count").to_number<std::uint32_t>()},
           textAt(Object, "instance"),
@@ -47,7 +47,8 @@
           textAt(Object, "detail")};
 }
 
-/// Phase of an event in Chrome's format: a request is an asynchronous span.
+/// Phase of an event in the Chrome trace format, where a request is an
+/// asynchronous span.
 std::string_view phaseOf(const timeline_event &Event) {
   if (Event.RequestId.empty())
     return "i";
@@ -104,7 +105,7 @@
     std::ranges::transform(Value.at("events").as_array(),
                            std::back_inserter(Events), eventOf);
   } catch (const std::exception &Error) {
-    return failure(errc::BadMessage, std::string("time line: ") + Error.what());
+    return failure(errc::BadMessage, std::string("timeline: ") + Error.what());
   }
   return Events;
 }
--- a/packages/http/include/redwinggw/http/address.hpp
+++ b/packages/http/include/redwinggw/http/address.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <string_view>
 
-/// Network addresses as settings and sheets write them: "127.0.0.1:8080".
+/// Network addresses in the form used in settings and sheets, "127.0.0.1:8080".
 namespace redwinggw::http {
 
 struct address {
@@ -16,10 +16,10 @@
   friend auto operator<=>(const address &, const address &) = default;
 };
 
-/// Reads "IP:port". Fails with errc::BadRequest. Thread safe.
+/// Parses "IP:port". Fails with errc::BadRequest. Thread safe.
 base::result<address> parseAddress(std::string_view Text);
 
-/// "IP:port". Thread safe.
+/// Formats \p Address as "IP:port". Thread safe.
 std::string toText(const address &Address);
 
 } // namespace redwinggw::http
--- a/packages/http/include/redwinggw/http/client.hpp
+++ b/packages/http/include/redwinggw/http/client.hpp
@@ -11,7 +11,7 @@
 #include <memory>
 #include <optional>
 
-/// Client side of HTTP/1.1 over Beast: one connection, one exchange at a time.
+/// HTTP/1.1 client on Boost.Beast: one connection, one exchange at a time.
 namespace redwinggw::http {
 
 /// One connection. Move-only; used from one thread. Destroying it closes it.
@@ -26,20 +26,20 @@
   base::task<base::result<void>> connect(const address &Address,
                                          base::instant Deadline);
 
-  /// Sends \p Request and reads the whole answer. Precondition: connected and
+  /// Sends \p Request and reads the whole response. Precondition: connected and
   /// no other exchange is running. After a failure the connection is closed.
-  /// With \p StallTimeout the exchange also ends when the answer's head, or the
-  /// next part of its body, does not come for so long: \p Deadline can then
-  /// leave a large answer the time that it needs.
+  /// With \p StallTimeout the exchange also fails if no data arrives for that
+  /// long, so that \p Deadline can allow for the transfer of a large response.
   ///
-  /// Fails with errc::EndpointUnreachable when not one byte was sent, so the
-  /// request did not run; with errc::OutcomeUnknown when some were sent and no
-  /// answer came in time; with errc::TruncatedAnswer when the answer broke off.
+  /// Fails with errc::EndpointUnreachable if no byte was sent, so the request
+  /// did not run; with errc::OutcomeUnknown if some bytes were sent and no
+  /// response arrived in time; with errc::TruncatedAnswer if the response was
+  /// cut off.
   base::task<base::result<response>>
   exchange(const request &Request, base::instant Deadline,
            std::optional<base::milliseconds> StallTimeout = std::nullopt);
 
-  /// Closes the connection. May be called when it is closed already.
+  /// Closes the connection, if it is open.
   void close();
 
   bool isOpen() const;
@@ -49,7 +49,7 @@
   std::unique_ptr<state> State;
 };
 
-/// Connects, exchanges once and closes.
+/// Opens a connection for a single exchange, then closes it.
 base::task<base::result<response>>
 exchangeOnce(boost::asio::any_io_executor Executor, address Address,
              request Request, base::instant Deadline,
--- a/packages/http/include/redwinggw/http/listen.hpp
+++ b/packages/http/include/redwinggw/http/listen.hpp
@@ -10,16 +10,16 @@
 
 namespace redwinggw::http {
 
-/// Lets \p Acceptor listen at \p Address and answers where it does: port 0
-/// picks a free one. Fails with errc::BadSettings when the address is taken or
-/// not of this machine.
+/// Makes \p Acceptor listen at \p Address and returns the actual address: port
+/// 0 picks a free port. Fails with errc::BadSettings if the address is in use
+/// or does not belong to this machine.
 base::result<address> listenAt(boost::asio::ip::tcp::acceptor &Acceptor,
                                const address &Address);
 
-/// Hands each connection that \p Acceptor takes to \p OnConnection, until it is
-/// closed. Small messages on them are sent at once. When no descriptor is left
-/// it pauses; it would spin otherwise. \p OnConnection has to keep \p Acceptor
-/// alive.
+/// Calls \p OnConnection for each connection, until \p Acceptor is closed.
+/// Nagle's algorithm is disabled on them. After an error, such as exhausted
+/// file descriptors, it pauses to avoid a busy loop. \p OnConnection must keep
+/// \p Acceptor alive.
 base::task<void> acceptConnections(
     boost::asio::ip::tcp::acceptor &Acceptor,
     std::function<void(boost::asio::ip::tcp::socket)> OnConnection);
--- a/packages/http/include/redwinggw/http/message.hpp
+++ b/packages/http/include/redwinggw/http/message.hpp
@@ -3,7 +3,7 @@
 #include <string>
 #include <vector>
 
-/// Requests and responses of HTTP/1.1 as the rest of the system sees them.
+/// HTTP/1.1 requests and responses, independent of the HTTP library.
 namespace redwinggw::http {
 
 struct header {
@@ -14,16 +14,16 @@
 struct request {
   std::string Method = "POST";
   std::string Target = "/";
-  /// Value of the Authorization header; holds a key, so it is never logged.
+  /// Value of the Authorization header; contains a key, so it is never logged.
   std::string Authorization;
   /// Name of the sending process; set by redwinggw's own programs.
   std::string From;
   std::string Body;
-  /// Further headers to send; received ones are not kept.
+  /// Additional headers to send; not filled in for received requests.
   std::vector<header> Headers;
 };
 
-/// \p Status 0 closes the connection without an answer.
+/// A Status of 0 makes the server close the connection without a response.
 struct response {
   unsigned Status = 200;
   std::string Body;
--- a/packages/http/include/redwinggw/http/server.hpp
+++ b/packages/http/include/redwinggw/http/server.hpp
@@ -13,21 +13,21 @@
 #include <functional>
 #include <memory>
 
-/// Server side of HTTP/1.1 over Beast.
+/// HTTP/1.1 server on Boost.Beast.
 namespace redwinggw::http {
 
-/// What a handler keeps for one connection; destroyed when it closes.
+/// Per-connection data of a handler; destroyed when the connection closes.
 struct connection {
   std::uint64_t Id = 0;
   std::any State;
 };
 
-/// Answers one request. Requests of one connection come one after another.
+/// Handles one request. Requests of one connection are handled sequentially.
 using handler = std::function<base::task<response>(connection &, request)>;
 
 struct server_options {
   std::size_t BodyLimit = std::size_t{16} * 1024 * 1024;
-  /// A connection without a request for so long is closed.
+  /// A connection without a request for this long is closed.
   base::milliseconds IdleTimeout{10 * 60 * 1000};
 };
 
@@ -40,18 +40,18 @@
   server &operator=(const server &) = delete;
   ~server();
 
-  /// Starts to listen. Fails with errc::BadSettings when the address is taken
-  /// or not of this machine. Port 0 picks a free one.
+  /// Starts listening. Fails with errc::BadSettings if the address is in use or
+  /// does not belong to this machine. Port 0 picks a free port.
   base::result<address> listen(const address &Address);
 
-  /// Stops accepting and closes idle connections; busy ones answer the
-  /// request they are at and then close. May be repeated.
+  /// Stops accepting and closes idle connections; busy ones finish their
+  /// current request and then close. May be called repeatedly.
   void drain();
 
-  /// Connections open now.
+  /// Number of open connections.
   std::size_t openConnections() const;
 
-  /// Requests being answered now.
+  /// Number of connections with a request in progress.
   std::size_t busyConnections() const;
 
 private:
--- a/packages/http/src/client.cpp
+++ b/packages/http/src/client.cpp
@@ -46,7 +46,7 @@
   explicit state(asio::any_io_executor Executor)
       : Stream(std::move(Executor)) {}
 
-  /// Ends the running step at \p Deadline, or after \p StallTimeout if sooner.
+  /// Limits the next operation to \p Deadline, or \p StallTimeout if sooner.
   void setExpiry(base::instant Deadline,
                  std::optional<base::milliseconds> StallTimeout) {
     const base::instant Latest =
@@ -103,10 +103,10 @@
     Received += Read;
     if (ReadError) {
       close();
-      co_return failure(Parser.got_some() ? errc::TruncatedAnswer
-                                          : errc::OutcomeUnknown,
-                        ReadError.message() + " after " +
-                            std::to_string(Received) + " bytes of the answer");
+      co_return failure(
+          Parser.got_some() ? errc::TruncatedAnswer : errc::OutcomeUnknown,
+          ReadError.message() + " after " + std::to_string(Received) +
+              " bytes of the response");
     }
   }
   response Response;
@@ -120,7 +120,7 @@
 void client::close() {
   State->Open = false;
   State->Stream.close();
-  // What is left of an answer must not be read as the next one's beginning.
+  // The rest of this response must not be parsed as the start of the next one.
   State->Buffer.clear();
 }
 
--- a/packages/http/src/listen.cpp
+++ b/packages/http/src/listen.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 constexpr auto Token = asio::as_tuple(asio::use_awaitable);
-/// Pause when no descriptor is left for a new connection.
+/// Pause after a failed accept, such as when no file descriptor is left.
 constexpr base::milliseconds AcceptRetryDelay{50};
 
 } // namespace
--- a/packages/http/src/server.cpp
+++ b/packages/http/src/server.cpp
@@ -80,17 +80,18 @@
       while (co_await serveOne(*Session)) {
       }
     } catch (const std::exception &Fault) {
-      // Nobody else would: the connection would stay open and counted, and its
-      // caller would wait until its deadline.
+      // Handled here because otherwise the connection would stay open and
+      // counted, and its caller would wait until its deadline.
       Busy -= Session->Busy ? 1 : 0;
       base::log(base::log_level::Error, base::log_part::Main,
-                std::string("A request failed unexpectedly: ") + Fault.what());
+                std::string("Request failed with an exception: ") +
+                    Fault.what());
     }
     Session->Stream.close();
     Sessions.erase(Session->Connection.Id);
   }
 
-  /// Serves one request; false when the connection is to be closed.
+  /// Serves one request; returns false if the connection is to be closed.
   base::task<bool> serveOne(session &Session) {
     Session.Stream.expires_after(Options.IdleTimeout);
     parser Parser;
--- a/packages/kernel/include/redwinggw/kernel/life_cycle.hpp
+++ b/packages/kernel/include/redwinggw/kernel/life_cycle.hpp
@@ -4,7 +4,7 @@
 #include <memory>
 #include <string_view>
 
-/// The life cycle of an instance, a Boost.MSM machine:
+/// The life cycle of an instance, as a Boost.MSM state machine:
 ///
 ///   starting --ready--> serving --stop--> draining --drained--> stopped
 ///   starting --stop--> stopped
@@ -14,7 +14,7 @@
 
 enum class life_event { Ready, Stop, Drained };
 
-/// The name of \p State for people. Thread safe.
+/// The name of \p State, such as "serving". Thread safe.
 std::string_view lifeStateName(life_state State);
 
 /// Not thread safe.
@@ -26,8 +26,8 @@
   life_cycle &operator=(const life_cycle &) = delete;
   ~life_cycle();
 
-  /// Takes in \p Event; one that the state has no transition for, such as a
-  /// second stop, changes nothing.
+  /// Handles \p Event. An event without a transition from the current state,
+  /// such as a second stop, is ignored.
   void process(life_event Event);
 
   life_state state() const;
--- a/packages/kernel/src/life_cycle.cpp
+++ b/packages/kernel/src/life_cycle.cpp
@@ -26,7 +26,7 @@
 struct stop_event {};
 struct drained_event {};
 
-/// A state that reports its entry to the machine's owner.
+/// A state that reports its entry through the machine's callback.
 template <life_state Value> struct notifying_state : msm::front::state<> {
   template <typename Event, typename Machine>
   void on_entry(const Event &, Machine &Owner) {
--- a/packages/kernel/src/registry.cpp
+++ b/packages/kernel/src/registry.cpp
@@ -11,7 +11,8 @@
 using base::failure;
 using base::result;
 
-/// Depth-first visit that appends each service after what it needs.
+/// Topological sort by depth-first search: each service follows its
+/// dependencies.
 struct ordering {
   const registry &Registry;
   std::vector<std::string> Order;
@@ -25,7 +26,7 @@
   if (Found == Ordering.Registry.Services.end())
     return failure(errc::NotFound, "service " + Name);
   if (!Ordering.Visiting.insert(Name).second)
-    return failure(errc::Conflict, "services need each other: " + Name);
+    return failure(errc::Conflict, "circular service dependency: " + Name);
   for (const std::string &Dependency : Found->second.Dependencies)
     if (auto Visited = visit(Ordering, Dependency); !Visited)
       return Visited;
--- a/packages/storage/src/own_protocol.cpp
+++ b/packages/storage/src/own_protocol.cpp
@@ -19,17 +19,18 @@
 constexpr unsigned StatusNotFound = 404;
 constexpr unsigned StatusConflict = 409;
 
-/// A body that is not what the protocol says throws; callers turn it into
-/// errc::StoreUnreachable, as a store that answers nonsense is not usable.
+/// Throws if the body is not valid JSON; callers report it as
+/// errc::StoreUnreachable, because a store with invalid responses is unusable.
 json::value parsed(const http::response &Response) {
   return json::parse(Response.Body);
 }
 
-/// A transfer that still goes on then has all but stopped.
+/// Upper limit for a read. A transfer that takes longer has practically
+/// stalled.
 constexpr base::milliseconds LongestTransfer{20000};
 
-/// Asks with a whole answer due by \p Deadline, which stops coming for
-/// Store.Timeout at most.
+/// Sends a request whose whole response must arrive by \p Deadline, without a
+/// pause longer than Store.Timeout.
 base::task<result<http::response>> sendUntil(store &Store, std::string Target,
                                              json::object Body,
                                              base::instant Deadline) {
@@ -49,14 +50,15 @@
   co_return std::move(*Response);
 }
 
-/// Changes something: whoever asked has to know soon how it ended.
+/// Sends a write. Its deadline is short, because the caller needs the outcome
+/// soon.
 base::task<result<http::response>> sendWrite(store &Store, std::string Target,
                                              json::object Body) {
   return sendUntil(Store, std::move(Target), std::move(Body),
                    base::now() + Store.Timeout);
 }
 
-/// Reads something, which takes as long as its size and the link need.
+/// Sends a read, whose duration depends on the response size and the bandwidth.
 base::task<result<http::response>> sendRead(store &Store, std::string Target,
                                             json::object Body) {
   return sendUntil(Store, std::move(Target), std::move(Body),
@@ -88,7 +90,7 @@
   return Rows;
 }
 
-/// The rows in the order of \p Keys, absent ones with version 0.
+/// The rows in the order of \p Keys; missing rows have version 0.
 std::vector<row> inOrder(const std::vector<row> &Rows,
                          const std::vector<std::string> &Keys) {
   std::vector<row> Ordered;
--- a/tests/base/hybrid_clock_test.cpp
+++ b/tests/base/hybrid_clock_test.cpp
@@ -4,8 +4,8 @@
 
 using namespace redwinggw::base;
 
-// An operator sees an answer before its request: the wall clock was set back
-// by 500 ms between the two events.
+// Guards against a timeline that shows a response before its request: the wall
+// clock is set back by 500 ms between the two events.
 Test(hybrid_clock, a_wall_clock_that_steps_back_keeps_the_order) {
   hybrid_clock Clock;
   const hybrid_time First = tick(Clock, 1000);
@@ -26,8 +26,9 @@
   cr_assert(Received.Time < tick(Receiver, 1000));
 }
 
-// One instance comes up with a clock a day ahead and sends one message. The
-// time lines of all others would jump a day ahead and stay there.
+// Guards against one wrong clock moving all others: an instance starts with its
+// clock a day ahead and sends one message. The timelines of all other instances
+// would jump a day ahead and stay there.
 Test(hybrid_clock, a_peer_far_ahead_does_not_move_the_clock) {
   for (const auto &[Drift, Accepted] :
        {std::pair{1000, true}, {1001, false}, {86'400'000, false}}) {
--- a/tests/base/metrics_page.cpp
+++ b/tests/base/metrics_page.cpp
@@ -2,7 +2,7 @@
 
 #include <iostream>
 
-/// Prints docs/METRICS.md from the table of metrics.
+/// Prints docs/METRICS.md, generated from the table of metrics.
 int main() {
   std::cout << redwinggw::base::metricsPage();
   return 0;
--- a/tests/base/timeline_test.cpp
+++ b/tests/base/timeline_test.cpp
@@ -19,8 +19,9 @@
   cr_assert(eventsOf(Line, 9).empty());
 }
 
-// The wall clock of instance b is 300 ms behind. Sorted by wall clocks, b
-// would admit a share before a gave it.
+// Guards against an effect sorted before its cause: the wall clock of instance
+// b is 300 ms behind, so by wall clock b would receive a share before a sends
+// it.
 Test(timeline, merged_lines_hold_a_cause_before_its_effect) {
   timeline Sender("a");
   timeline Receiver("b");
--- a/tests/http/client_test.cpp
+++ b/tests/http/client_test.cpp
@@ -21,11 +21,11 @@
 constexpr auto Token = asio::as_tuple(asio::use_awaitable);
 constexpr milliseconds Long{60'000};
 
-/// A server that sends the body of its answer byte by byte.
+/// A server that sends the body of its response byte by byte.
 struct slow_server {
   std::string Body;
   milliseconds BetweenBytes{0};
-  /// Bytes after which it sends nothing more and keeps the connection.
+  /// Number of bytes after which it stalls, keeping the connection open.
   std::size_t StopsAfter = std::string::npos;
 };
 
@@ -79,7 +79,7 @@
 
 } // namespace
 
-// Guards against cutting off an answer that takes long and still arrives.
+// Guards against aborting a slow response while its data still arrives.
 Test(client, waits_for_an_answer_while_it_arrives) {
   constexpr milliseconds StallTimeout{2000};
   constexpr milliseconds BetweenBytes{250};
@@ -89,7 +89,7 @@
   cr_assert(Answer->Body == Body);
 }
 
-// Guards against waiting until the deadline for a connection that went silent.
+// Guards against waiting until the deadline for a connection that has stalled.
 Test(client, gives_up_an_answer_that_stops_arriving) {
   constexpr milliseconds StallTimeout{300};
   constexpr std::size_t StopsAfter = 3;
--- a/tests/http/server_test.cpp
+++ b/tests/http/server_test.cpp
@@ -15,12 +15,12 @@
 
 base::task<http::response> echo(http::connection &, http::request Request) {
   if (Request.Target == "/throw")
-    throw std::runtime_error("a fault of the handler");
+    throw std::runtime_error("handler failed");
   co_return http::response{Request.Target == "/close" ? 0U : 200U,
                            Request.Body};
 }
 
-/// Sends one request to an echo server and returns what came back.
+/// Sends one request to an echo server and returns the response.
 base::result<http::response> exchangeWithEcho(std::string Target,
                                               std::string Body) {
   boost::asio::io_context Context;
@@ -50,17 +50,17 @@
   cr_assert(Answer->Body == Body);
 }
 
-// A caller sends a request; the server's process dies before it answers. The
-// caller cannot know whether it ran, so the client must not say "not run".
+// Guards against reporting "not run" when the outcome is unknown: the server
+// process dies after it received the request and before it responds.
 Test(server, a_connection_closed_without_an_answer_is_an_unknown_outcome) {
   const auto Answer = exchangeWithEcho("/close", "x");
   cr_assert(Answer.has_error());
   cr_assert(kindOf(Answer.error()) == base::errc::OutcomeUnknown);
 }
 
-// A handler meets a fault of its own and throws. The caller waits for nothing
-// until its deadline, and the connection stays open and counted for ever; after
-// as many faults as there are connections nobody gets in any more.
+// Guards against leaking the connection of a handler that throws: its caller
+// would wait until its deadline, and the connection would stay open and counted
+// forever, until the connection limit is exhausted.
 Test(server, a_handler_that_throws_closes_its_connection) {
   const auto Answer = exchangeWithEcho("/throw", "x");
   cr_assert(Answer.has_error());
--- a/tests/standins/common/standin.hpp
+++ b/tests/standins/common/standin.hpp
@@ -16,7 +16,8 @@
 #include <string>
 #include <string_view>
 
-/// What the stand-ins of the tests share. All of it is used from one thread.
+/// Helpers shared by the stand-ins, which simulate the systems around redwinggw
+/// in tests. Used from one thread.
 namespace redwinggw::standin {
 
 constexpr unsigned StatusOk = 200;
@@ -24,14 +25,15 @@
 constexpr unsigned StatusNotFound = 404;
 constexpr unsigned StatusConflict = 409;
 
-/// Closes the connection without an answer; see http::response.
+/// Closes the connection without a response; see http::response.
 constexpr unsigned CloseConnection = 0;
 
-/// An answer with \p Body as JSON.
+/// A response with \p Body as JSON.
 http::response answer(const boost::json::object &Body,
                       unsigned Status = StatusOk);
 
-/// Reads members that may be missing: then empty, zero, false.
+/// Read a member; if it is missing or of another type, the result is empty,
+/// zero or false.
 std::string textOf(const boost::json::object &Object, std::string_view Name);
 std::uint64_t numberOf(const boost::json::object &Object,
                        std::string_view Name);
@@ -39,10 +41,10 @@
 base::microseconds timeOf(const boost::json::object &Object,
                           std::string_view Name);
 
-/// \p Milliseconds, a fraction allowed.
+/// Converts \p Milliseconds, which may have a fraction.
 base::microseconds microsecondsOf(double Milliseconds);
 
-/// Coroutines that wait until somebody wakes them all.
+/// Coroutines that wait until wakeAll() resumes all of them.
 class wait_list {
 public:
   explicit wait_list(boost::asio::any_io_executor Executor)
@@ -61,7 +63,7 @@
   std::set<boost::asio::steady_timer *> Timers;
 };
 
-/// A number of slots that are handed out in the order of asking.
+/// A fixed number of slots, granted in FIFO order.
 class slot_queue {
 public:
   slot_queue(boost::asio::any_io_executor Executor, unsigned Slots)
@@ -78,7 +80,7 @@
   std::deque<boost::asio::steady_timer *> Waiting;
 };
 
-/// Waits for \p Time; zero does not wait at all.
+/// Waits for \p Time; returns at once if it is zero.
 base::task<void> pause(boost::asio::any_io_executor Executor,
                        base::microseconds Time);
 
--- a/tests/standins/common/throttled_proxy.cpp
+++ b/tests/standins/common/throttled_proxy.cpp
@@ -21,7 +21,7 @@
 constexpr auto Token = asio::as_tuple(asio::use_awaitable);
 constexpr std::size_t ChunkBytes = std::size_t{16} * 1024;
 
-/// Both ends of one connection.
+/// The two sockets of one proxied connection.
 struct proxied_connection {
   tcp::socket Client;
   tcp::socket Server;
@@ -51,7 +51,7 @@
   std::size_t BytesPerSecond = 0;
 };
 
-/// Waits for as long as the link is busy with \p Bytes.
+/// Waits for the time that the link needs to transfer \p Bytes.
 base::task<void> throttled_proxy::state::throttle(std::size_t Bytes) {
   if (BytesPerSecond == 0)
     co_return;
--- a/tests/standins/common/throttled_proxy.hpp
+++ b/tests/standins/common/throttled_proxy.hpp
@@ -9,20 +9,20 @@
 
 namespace redwinggw::standin {
 
-/// A way to a server over a link whose speed can be limited. Used from one
-/// thread.
+/// A TCP proxy whose bandwidth can be limited. Used from one thread.
 class throttled_proxy {
 public:
-  /// Passes connections on to \p Server.
+  /// Forwards connections to \p Server.
   throttled_proxy(boost::asio::any_io_executor Executor, http::address Server);
   throttled_proxy(const throttled_proxy &) = delete;
   throttled_proxy &operator=(const throttled_proxy &) = delete;
   ~throttled_proxy();
 
-  /// Where it listens: a free port of the loopback address.
+  /// The address that it listens at: a free port on the loopback interface.
   const http::address &address() const;
 
-  /// Bytes that each connection gets from the server in a second; 0: no limit.
+  /// Limits the bytes per second from the server, per connection; 0 means
+  /// unlimited.
   void setSpeed(std::size_t BytesPerSecond);
 
 private:
--- a/tests/standins/endpoint/database.cpp
+++ b/tests/standins/endpoint/database.cpp
@@ -83,7 +83,8 @@
   }
 }
 
-/// Lets the handle's own begin, commit and rollback pass.
+/// SQLite authorizer that refuses RefusedActions, except in the handle's own
+/// begin, commit and rollback.
 int authorize(void *Internal, int Action, const char *, const char *,
               const char *, const char *) {
   const bool Refused =
@@ -112,8 +113,8 @@
   sqlite3 *Handle = nullptr;
   bool Internal = false;
   statement_cache Prepared;
-  /// Begin, commit and rollback: kept apart, so that no caller's statement of
-  /// the same text finds one of them prepared.
+  /// Begin, commit and rollback. A separate cache, so that a caller's statement
+  /// of the same text cannot use one of them and bypass the authorizer.
   statement_cache Control;
 };
 
@@ -162,8 +163,10 @@
     return Result;
   Result.Wrote = sqlite3_stmt_readonly(Prepared) == 0;
   if (Result.Wrote && ReadOnly)
-    return {
-        sql_status::Failed, "a write in a read-only transaction", {}, false};
+    return {sql_status::Failed,
+            "cannot write in a read-only transaction",
+            {},
+            false};
   if (const int Code = bindAll(Prepared, Statement.Params); Code != SQLITE_OK)
     return {sql_status::Failed, sqlite3_errstr(Code), {}, false};
   readRows(Prepared, Result);
@@ -218,7 +221,7 @@
   if (Statement == nullptr ||
       Tail.find_first_not_of(" \t\r\n;") != std::string_view::npos) {
     sqlite3_finalize(Statement);
-    Result = {sql_status::Failed, "one statement is expected", {}, false};
+    Result = {sql_status::Failed, "expected exactly one statement", {}, false};
     return nullptr;
   }
   Cache.emplace(Sql, Statement);
--- a/tests/standins/endpoint/database.hpp
+++ b/tests/standins/endpoint/database.hpp
@@ -11,18 +11,18 @@
 struct sqlite3;
 struct sqlite3_stmt;
 
-/// SQL on SQLite in memory. Handles of one database share a cache and lock
-/// whole tables until their transaction ends, which makes transactions
-/// serializable. No call blocks: what waits for a lock answers Locked.
+/// SQL on an in-memory SQLite database. Handles of one database share a cache
+/// and lock whole tables until their transaction ends, which makes transactions
+/// serializable. No call blocks: a call that needs a held lock returns Locked.
 namespace redwinggw::standin {
 
 enum class sql_status { Ok, Locked, Unique, Failed };
 
 struct sql_result {
   sql_status Status = sql_status::Ok;
-  /// Why it failed.
+  /// Error message of a failure.
   std::string Detail;
-  /// Columns, rows and changes as docs/ENDPOINTS.md states them.
+  /// Columns, rows and changes as specified in docs/ENDPOINTS.md.
   boost::json::object Result;
   bool Wrote = false;
 };
@@ -37,14 +37,14 @@
   database &operator=(database &&) noexcept;
   ~database();
 
-  /// \p Writes takes the one right to write at once, so that two transactions
-  /// never wait for each other to upgrade.
+  /// With \p Writes it takes the write lock immediately, so that two
+  /// transactions cannot deadlock by both upgrading from a read lock.
   sql_status begin(bool Writes);
   sql_status commit();
   void rollback();
 
-  /// Runs one statement. Transaction control, pragmas and attaching are
-  /// refused, because the log could not repeat them.
+  /// Runs one statement. Transaction control, pragmas and ATTACH are refused,
+  /// because they cannot be replayed from the log.
   sql_result execute(const data::statement &Statement, bool ReadOnly);
 
 private:
@@ -60,7 +60,7 @@
   std::unique_ptr<state> State;
 };
 
-/// Splits a script into its statements.
+/// Splits an SQL script into its statements.
 std::vector<data::statement> statementsOf(const std::string &Script);
 
 } // namespace redwinggw::standin
--- a/tests/standins/endpoint/endpoint.cpp
+++ b/tests/standins/endpoint/endpoint.cpp
@@ -18,7 +18,7 @@
   return Response;
 }
 
-/// The connection that the server keeps for the endpoint.
+/// The endpoint state of \p Connection, created by the first request.
 database_connection &connectionOf(http::connection &Connection,
                                   endpoint_standin &Endpoint) {
   using pointer = std::shared_ptr<database_connection>;
@@ -113,7 +113,7 @@
   if (Connection.Connected)
     co_return withState({});
   if (Counters.Connections >= Options.Connections)
-    co_return refuse({"connection_limit", "no connection is left"});
+    co_return refuse({"connection_limit", "connection limit reached"});
   Connection.Connected = true;
   ++Counters.Connections;
   Counters.MaxConnections =
@@ -222,8 +222,9 @@
 base::task<bool> endpoint_standin::passInbound(database_connection &Connection,
                                                peer From) {
   if (isSilent(Connection)) {
-    // What lies between has lost track of the connection. The database's own
-    // keep-alive ends it, so it holds neither locks nor a place in the limit.
+    // Simulates a middlebox that dropped the connection's state. The database's
+    // keepalive closes the connection, so it holds no locks and no longer
+    // counts against the connection limit.
     disconnect(Connection);
     co_await waitForFaultChange();
     co_return false;
--- a/tests/standins/endpoint/endpoint.hpp
+++ b/tests/standins/endpoint/endpoint.hpp
@@ -14,7 +14,7 @@
 #include <string>
 #include <vector>
 
-/// The stand-in of one endpoint: docs/ENDPOINTS.md over HTTP.
+/// Stand-in for one endpoint: implements docs/ENDPOINTS.md over HTTP.
 namespace redwinggw::standin {
 
 struct endpoint_options {
@@ -32,14 +32,14 @@
 
 class endpoint_standin;
 
-/// A transaction on one database connection, from begin to its end.
+/// An open transaction on one database connection.
 struct open_transaction {
   bool ReadOnly = false;
-  /// What the log gets at commit.
+  /// Statements to append to the log at commit.
   std::vector<data::statement> Writes;
 };
 
-/// What an endpoint keeps for one connection. Closing it rolls back.
+/// State of one connection. Closing it rolls back its transaction.
 struct database_connection {
   explicit database_connection(std::shared_ptr<endpoint_standin> Endpoint,
                                std::uint64_t Id);
@@ -47,15 +47,15 @@
   database_connection &operator=(const database_connection &) = delete;
   ~database_connection();
 
-  /// Shared: the server closes its connections after the endpoint's owner has
-  /// let go of it.
+  /// Shared because the server closes its connections after the endpoint's
+  /// owner has released it.
   std::shared_ptr<endpoint_standin> Endpoint;
   std::uint64_t Id;
-  /// It is counted against the limit.
+  /// Whether it counts against the connection limit.
   bool Connected = false;
   std::unique_ptr<database> Handle;
   std::unique_ptr<open_transaction> Transaction;
-  /// The transaction was rolled back by a change of term.
+  /// Whether a change of term rolled back the transaction.
   bool Lost = false;
 };
 
@@ -68,10 +68,10 @@
   std::uint64_t Statements = 0;
 };
 
-/// How far one run has come; it is taken up again after waiting for a lock.
+/// Progress of one run, which is resumed after waiting for a lock.
 struct run_progress {
   data::run_request Request;
-  /// Begin and commit are implied.
+  /// Begin and commit are implicit.
   bool AutoCommit = false;
   boost::json::array Results;
   base::microseconds Busy{0};
@@ -79,13 +79,13 @@
   bool Committed = false;
 };
 
-/// Why a run ended, when it did not succeed.
+/// Why a run did not succeed.
 struct run_refusal {
   std::string_view Error;
   std::string Detail;
 };
 
-/// What one try of a run came to.
+/// Result of one attempt at a run.
 enum class attempt { Finished, Refused, Locked };
 
 /// Used from one thread. Must be owned by a shared pointer.
@@ -160,10 +160,10 @@
   endpoint_counters Counters;
   std::set<database_connection *> Connections;
   std::uint64_t LastConnection = 0;
-  /// Number of times that the database was built; part of its name.
+  /// Number of times that the database was built; part of the database name.
   unsigned Generation = 0;
   std::unique_ptr<database> Applier;
-  /// Each change of role starts another one; loops of older ones end.
+  /// Incremented by each change of role; shipping loops of older epochs end.
   std::uint64_t ShipEpoch = 0;
   wait_list StateChanged;
   wait_list FaultsChanged;
--- a/tests/standins/endpoint/faults.hpp
+++ b/tests/standins/endpoint/faults.hpp
@@ -9,7 +9,7 @@
 #include <string_view>
 #include <vector>
 
-/// The faults that a stand-in endpoint is under, without I/O.
+/// The faults injected into a stand-in endpoint, without I/O.
 namespace redwinggw::standin {
 
 enum class endpoint_fault_kind {
@@ -26,7 +26,8 @@
   None,
 };
 
-/// A broken path. In: requests do not arrive. Out: answers do not leave.
+/// A broken network path. In: requests do not arrive. Out: responses do not
+/// leave.
 struct cut_path {
   std::string Peer;
   bool In = false;
@@ -36,18 +37,18 @@
 struct endpoint_faults {
   bool Paused = false;
   std::vector<cut_path> Cuts;
-  /// Connections up to this id are silent.
+  /// Connections with ids up to this one receive no responses.
   std::uint64_t SilentUpTo = 0;
   base::microseconds Slow{0};
   std::uint64_t LostAnswers = 0;
 
-  /// Not faults, but set the same way; "none" keeps them.
+  /// Not faults, but set by the same command; "none" does not reset them.
   base::microseconds ApplyLag{0};
   base::microseconds ShipLag{0};
   base::microseconds Work{0};
 };
 
-/// Who is at the other end.
+/// The process at the other end of a connection.
 struct peer {
   std::string_view Name;
   bool IsEndpoint = false;
@@ -56,8 +57,9 @@
 bool arrives(const endpoint_faults &Faults, const peer &From);
 bool leaves(const endpoint_faults &Faults, const peer &To);
 
-/// Takes the command \p Body of /admin/fault; \p LastConnection is the highest
-/// id of a connection so far. Throws std::invalid_argument for another kind.
+/// Applies the command \p Body of /admin/fault; \p LastConnection is the
+/// highest connection id so far. Throws std::invalid_argument for an unknown
+/// kind.
 void setFault(endpoint_faults &Faults, const boost::json::object &Body,
               std::uint64_t LastConnection);
 
--- a/tests/standins/endpoint/main.cpp
+++ b/tests/standins/endpoint/main.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// The command line, before it is understood.
+/// Command line options before conversion to endpoint_options.
 struct arguments {
   std::string Listen;
   double ConnectCost = 0;
--- a/tests/standins/endpoint/messages.hpp
+++ b/tests/standins/endpoint/messages.hpp
@@ -6,8 +6,8 @@
 
 #include <string_view>
 
-/// The JSON form of the endpoint's messages; docs/ENDPOINTS.md. A body that is
-/// not of that form throws std::exception. Thread safe.
+/// JSON encoding of the endpoint's messages, specified in docs/ENDPOINTS.md.
+/// Decoding throws std::exception if the body is malformed. Thread safe.
 namespace redwinggw::standin {
 
 data::run_request runOf(const boost::json::object &Body);
@@ -15,7 +15,8 @@
 boost::json::object objectOf(const data::endpoint_state &State,
                              std::string_view Group);
 
-/// The part of \p Sender's log after \p From, at most \p Count entries.
+/// A replication message with at most \p Count entries of \p Sender's log after
+/// position \p From.
 boost::json::object replicateBody(const replica &Sender,
                                   base::log_position From, std::size_t Count);
 
--- a/tests/standins/endpoint/replica.cpp
+++ b/tests/standins/endpoint/replica.cpp
@@ -18,8 +18,8 @@
   return After == History.begin() ? 0 : std::ranges::prev(After)->Term;
 }
 
-/// Length of the part of \p Log that is in the primary's log too. A term has
-/// one primary, so an entry is known by its position and term.
+/// Length of the longest prefix that \p Log shares with the primary's log. A
+/// term has one primary, so position and term identify an entry.
 base::log_position commonPrefix(const std::vector<log_entry> &Log,
                                 const replicate_message &Message) {
   const auto Shared =
@@ -40,8 +40,8 @@
   return Rows;
 }
 
-/// Guards against two orders for one term: both would make a primary, and an
-/// acknowledged write of one would be missing in the other.
+/// Guards against two orders for one term: each would create a primary, and an
+/// acknowledged write of one would be missing on the other.
 bool mayEnterTerm(const replica &Replica, base::term_number Term,
                   const std::string &Order) {
   if (Term == Replica.Term)
@@ -75,8 +75,8 @@
 bool seal(replica &Replica, base::term_number Term, const std::string &Order) {
   if (!mayEnterTerm(Replica, Term, Order))
     return false;
-  // A late copy of the seal must not stop the primary that the same order has
-  // made since.
+  // A delayed duplicate of the seal must not stop the primary that the same
+  // order has promoted since.
   if (Term == Replica.Term)
     return true;
   enterTerm(Replica, Term, Order, endpoint_role::Sealed);
@@ -120,8 +120,9 @@
       Replica.Applied = 0;
     Replica.Verified = true;
   }
-  // Messages are repeated and come late: entries that are here already are
-  // passed over, and a gap is left to the primary, who sees how far this is.
+  // Messages may be duplicated or delayed: entries that are already present are
+  // skipped, and a gap is ignored. The primary sees the reported position and
+  // sends the missing entries.
   const auto Here = Replica.Log.size();
   if (Message.From <= Here)
     for (log_entry &Entry :
--- a/tests/standins/endpoint/runs.cpp
+++ b/tests/standins/endpoint/runs.cpp
@@ -9,15 +9,15 @@
 
 using data::endpoint_role;
 
-/// A run that waits longer for a lock is given up, which also ends two
-/// transactions that wait for each other.
+/// A run that waits longer for a lock is refused, which also resolves
+/// deadlocks.
 constexpr std::chrono::seconds LockTimeout{1};
 constexpr std::chrono::milliseconds LockRetry{1};
 
 constexpr std::string_view NotPrimary = "not_primary";
 constexpr std::string_view TermReplaced = "term_replaced";
 
-/// Notes the refusal that \p Result stands for.
+/// Converts a failed \p Result to the result of the attempt and its refusal.
 attempt failedAttempt(const sql_result &Result, run_refusal &Refusal) {
   if (Result.Status == sql_status::Locked)
     return attempt::Locked;
@@ -99,8 +99,8 @@
   co_return Outcome;
 }
 
-/// Runs without a pause between the check of the term and the commit, so that
-/// no seal or promotion comes between them.
+/// Does not suspend between the check of the term and the commit, so that no
+/// seal or promotion can be handled in between.
 attempt endpoint_standin::tryRun(database_connection &Connection,
                                  run_progress &Progress, run_refusal &Refusal) {
   if (const attempt Begun = begin(Connection, Progress, Refusal);
@@ -115,7 +115,8 @@
     sql_result Result = Database.execute(Statement, Transaction.ReadOnly);
     if (Result.Status != sql_status::Ok) {
       const attempt Outcome = failedAttempt(Result, Refusal);
-      // Alone, nothing is kept while it waits, so that nobody waits for it.
+      // An autocommit run starts over after the wait. It holds no locks
+      // meanwhile, so that no other transaction waits for it.
       if (Progress.AutoCommit) {
         abandon(Connection);
         Progress.Results.clear();
@@ -183,7 +184,8 @@
   if (!IsPrimary && (!ReadOnly || Request.ExpectTerm))
     return run_refusal{NotPrimary, "this is not the primary"};
   if (Request.ExpectTerm && *Request.ExpectTerm != Replica.Term)
-    return run_refusal{TermReplaced, "the term is another"};
+    return run_refusal{TermReplaced,
+                       "the expected term is not the current one"};
   return std::nullopt;
 }
 
--- a/tests/standins/endpoint/shipping.cpp
+++ b/tests/standins/endpoint/shipping.cpp
@@ -19,11 +19,11 @@
 namespace json = boost::json;
 using data::endpoint_role;
 
-/// Entries in one message and in one go of applying.
+/// Maximum number of entries in one message and in one apply transaction.
 constexpr std::size_t BatchSize = 256;
-/// An idle primary tells its members its history so often.
+/// Interval at which an idle primary sends its history to its members.
 constexpr std::chrono::milliseconds Heartbeat{100};
-/// Wait after a member refused or could not be reached.
+/// Delay before a retry after a member refused or could not be reached.
 constexpr std::chrono::milliseconds Backoff{20};
 constexpr std::chrono::milliseconds ShipTimeout{500};
 constexpr std::chrono::milliseconds LockRetry{1};
@@ -41,8 +41,8 @@
 
 void endpoint_standin::becomePrimary(
     std::vector<data::endpoint_address> Members) {
-  // All that was received is applied before anybody is served; no transaction
-  // is open that could hold a lock.
+  // All received entries are applied before any request is served. No open
+  // transaction can hold a lock.
   while (Replica.Applied < Replica.Log.size())
     if (applyUntil(Replica.Log.size()) == 0)
       throw std::logic_error("the log cannot be applied");
@@ -62,8 +62,8 @@
       std::make_unique<database>(Replica.Name + std::to_string(Generation));
 }
 
-/// Applies entries up to \p End, at most a batch; returns how many. Zero means
-/// that a reader holds a lock.
+/// Applies entries up to \p End, at most one batch, and returns their number.
+/// Zero means that a reader holds a lock.
 base::log_position endpoint_standin::applyUntil(base::log_position End) {
   const auto Last =
       std::min<base::log_position>(End, Replica.Applied + BatchSize);
@@ -77,7 +77,7 @@
       Applier->rollback();
       if (Result.Status == sql_status::Locked)
         return 0;
-      throw std::logic_error("the log does not fit the data: " + Result.Detail);
+      throw std::logic_error("cannot apply a log entry: " + Result.Detail);
     }
   if (Applier->commit() != sql_status::Ok) {
     Applier->rollback();
@@ -110,11 +110,11 @@
   }
 }
 
-/// Sends log to one member for as long as this is the primary of the epoch.
+/// Sends the log to one member until the epoch ends.
 base::task<void> endpoint_standin::shipTo(data::endpoint_address Member,
                                           std::uint64_t Epoch) {
   http::client Client(Executor);
-  // Where the member is, is not known until it answers an empty message.
+  // The member's position is unknown until it responds to an empty message.
   base::log_position Next = Replica.Log.size();
   while (Epoch == ShipEpoch) {
     if (Faults.Paused || !leaves(Faults, {Member.Name, true})) {
@@ -156,7 +156,7 @@
   co_return true;
 }
 
-/// Number of entries after \p Next that the lag lets pass now.
+/// Number of entries after \p Next that are older than the shipping lag.
 std::size_t endpoint_standin::shippable(base::log_position Next) const {
   const auto First = Replica.Log.begin() + static_cast<std::ptrdiff_t>(Next);
   const auto End = std::ranges::upper_bound(First, Replica.Log.end(),
--- a/tests/standins/endpoint_test.cpp
+++ b/tests/standins/endpoint_test.cpp
@@ -15,7 +15,7 @@
 constexpr std::chrono::seconds ExchangeTimeout{20};
 constexpr const char *Caller = "test";
 
-/// One endpoint of group "g" behind its server.
+/// One endpoint of group "g" and its server.
 struct node {
   node(asio::io_context &Context, standin::endpoint_options Options)
       : Endpoint(std::make_shared<standin::endpoint_standin>(
@@ -56,7 +56,7 @@
                                exchangeDeadline());
 }
 
-/// Runs what must succeed.
+/// Runs a request that must succeed.
 base::task<data::run_answer> succeed(client &Client,
                                      data::run_request Request) {
   const data::run_result Result = co_await ask(Client, std::move(Request));
@@ -82,7 +82,7 @@
   cr_assert(Answer.has_value() && Answer->Status == standin::StatusOk);
 }
 
-/// A primary called "p", and a replica called "r" when one is wanted.
+/// A primary named "p" and, optionally, a replica named "r".
 struct group {
   explicit group(bool WithReplica = false) {
     std::vector<data::endpoint_address> Members;
@@ -112,8 +112,9 @@
 
 using scenario = base::task<void> (*)(group &);
 
-/// Runs \p Scenario to its end. Scenarios are named functions: g++ 12 gives a
-/// lambda coroutine in a test of Criterion a symbol that the assembler refuses.
+/// Runs \p Scenario to completion. Scenarios are named functions because g++ 12
+/// gives a lambda coroutine in a Criterion test a symbol that the assembler
+/// rejects.
 void runScenario(scenario Scenario, bool WithReplica = false) {
   group Group(WithReplica);
   bool Done = false;
@@ -186,7 +187,7 @@
   data::run_request Begin = running(Sql);
   Begin.Begin = true;
   co_await succeed(First, std::move(Begin));
-  // The second one waits for the first, and is refused in the end.
+  // The second transaction waits for the first and is refused after a timeout.
   const auto Waited = co_await ask(Second, running(Sql));
   cr_assert(Waited.Failed.Refusal == data::refusal::Busy);
   data::run_request Commit;
@@ -237,14 +238,16 @@
   runScenario(runInAnotherTerm);
 }
 
-// A caller has a transaction open when the primary is sealed. Its commit must
-// not succeed afterwards, and a new transaction must not either.
+// Guards against a commit on a sealed primary: a caller has an open transaction
+// when the primary is sealed, and then tries to commit it. Neither that commit
+// nor a new transaction may succeed.
 Test(rule_2, a_transaction_that_is_open_at_the_seal_does_not_commit) {
   runScenario(commitAfterSeal);
 }
 
-// Two callers count the bags, then each adds one if there are none. Run one
-// after the other, one bag results; so must it when they run at once.
+// Guards against a result that no serial execution gives: two callers each
+// insert a row if the table is empty. Run serially, one row results; run
+// concurrently, it must be the same.
 Test(rule_5, transactions_at_once_give_the_result_of_one_after_the_other) {
   runScenario(writeAtOnce);
 }
@@ -253,6 +256,6 @@
   runScenario(connectUpToTheLimit);
 }
 
-// The caller is told nothing about a write that took effect: the endpoint's
-// answer is lost on the way.
+// Guards against losing a write whose response is lost: the caller learns
+// nothing, but the write took effect.
 Test(endpoint, a_lost_answer_leaves_its_effect) { runScenario(loseAnAnswer); }
--- a/tests/standins/faults_test.cpp
+++ b/tests/standins/faults_test.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Which requests a cut stops, and which answers.
+/// Which requests and responses a cut drops.
 struct cut_case {
   const char *Kind;
   const char *Peer;
--- a/tests/standins/native/database_group.hpp
+++ b/tests/standins/native/database_group.hpp
@@ -11,8 +11,8 @@
 #include <string>
 #include <vector>
 
-/// A service's databases as the users' platform runs them, in memory: one log,
-/// a primary and replicas that apply it later.
+/// In-memory simulation of a service's databases on the users' platform: one
+/// log, a primary, and replicas that apply it later.
 namespace redwinggw::standin {
 
 struct log_entry {
@@ -26,11 +26,11 @@
   std::string Name;
   bool Primary = false;
   bool Draining = false;
-  /// It refuses connections.
+  /// Refuses connections.
   bool Down = false;
-  /// It runs statements and loses their answers; counts down.
+  /// Number of statements to run without sending a response; counts down.
   unsigned LoseAnswers = 0;
-  /// Entries of the log that it has.
+  /// Number of log entries received.
   std::size_t Received = 0;
   std::size_t Connections = 0;
 };
@@ -42,17 +42,17 @@
   std::vector<simulated_database> Databases;
   std::vector<log_entry> Log;
   base::term_number Term = 1;
-  /// How long replicas trail.
+  /// Replication lag.
   base::milliseconds Lag{20};
   unsigned ConnectionLimit = 50;
-  /// Statements that ran, by the caller's id.
+  /// Number of runs of each statement, by the id that the caller sent.
   std::map<std::string, unsigned> Runs;
   std::set<std::string> Customers;
 };
 
 simulated_database *findDatabase(database_group &Group, std::string_view Name);
 
-/// Lets replicas receive what is old enough.
+/// Delivers to the replicas the log entries that are older than the lag.
 void replicate(database_group &Group, base::instant Now);
 
 session::log_point pointOf(const database_group &Group,
@@ -62,8 +62,8 @@
 std::string valueAt(const database_group &Group,
                     const simulated_database &Database, std::string_view Item);
 
-/// Makes \p Name the primary of the next term; entries that it lacks are lost.
-/// False when it is not known or down.
+/// Makes \p Name the primary of the next term; entries that it has not received
+/// are lost. Returns false if it is unknown or down.
 bool promote(database_group &Group, std::string_view Name);
 
 } // namespace redwinggw::standin
--- a/tests/standins/native/database_server.hpp
+++ b/tests/standins/native/database_server.hpp
@@ -23,10 +23,10 @@
   database_server &operator=(const database_server &) = delete;
   ~database_server();
 
-  /// Where it listens: a free port of the loopback address.
+  /// The address that it listens at: a free port on the loopback interface.
   const http::address &address() const;
 
-  /// Ends all connections, as a crash does.
+  /// Closes all connections, as a crash does.
   void dropConnections();
 
 private:
--- a/tests/standins/native/row_table.cpp
+++ b/tests/standins/native/row_table.cpp
@@ -16,7 +16,8 @@
 constexpr unsigned StatusNotFound = 404;
 constexpr unsigned StatusUnavailable = 503;
 
-/// A parameter of a query; "%00" at its end stands for the next key.
+/// A query parameter. A trailing "%00" is decoded to a zero byte, which callers
+/// append to a key to get its successor.
 std::string parameter(const std::string &Query, const std::string &Name) {
   const std::size_t At = ("&" + Query).find("&" + Name + "=");
   if (At == std::string::npos)
--- a/tests/standins/native/row_table.hpp
+++ b/tests/standins/native/row_table.hpp
@@ -12,20 +12,20 @@
 
 namespace redwinggw::standin {
 
-/// The users' store: rows in tables, changed under conditions. Used from one
-/// thread.
+/// Simulation of the users' row store: tables with conditional commits. Used
+/// from one thread.
 class row_table {
 public:
-  /// Answers a request of an instance.
+  /// Handles a request of an instance.
   http::response handle(const http::request &Request);
 
-  /// What others than instances write.
+  /// Direct access for the test, bypassing the protocol.
   void put(const std::string &Table, const std::string &Key,
            const std::string &Value);
   void remove(const std::string &Table, const std::string &Key);
   std::string value(const std::string &Table, const std::string &Key) const;
 
-  /// Turns every request away.
+  /// Rejects every request with status 503.
   bool Down = false;
   std::uint64_t Calls = 0;
 
--- a/tests/standins/native/simulated_platform.hpp
+++ b/tests/standins/native/simulated_platform.hpp
@@ -15,11 +15,11 @@
 #include <thread>
 #include <vector>
 
-/// The users' platform in one process: store, databases and promotions, served
-/// by a thread of its own.
+/// Simulation of the users' platform in the test process: store, databases and
+/// promotions, served by a separate thread.
 namespace redwinggw::standin {
 
-/// An order to promote a database, as it arrived.
+/// A received request to promote a database.
 struct promotion {
   std::string Database;
   std::string Orderer;
@@ -33,20 +33,20 @@
   simulated_platform &operator=(const simulated_platform &) = delete;
   ~simulated_platform();
 
-  /// Runs \p Work on the world's thread and waits for it.
+  /// Runs \p Work on the platform's thread and waits for it to return.
   void runOnThread(const std::function<void(simulated_platform &)> &Work);
 
-  /// Stops \p Name: its entry stays for a while, as after a crash.
+  /// Stops \p Name; its entry in the store stays, as after a crash.
   void crash(const std::string &Name);
-  /// Lets \p Name announce that it leaves.
+  /// Marks \p Name as draining in the store.
   void drain(const std::string &Name);
-  /// Puts a configuration with these keys of the customer "acme" in force, and
-  /// with so many routes that nobody uses.
+  /// Publishes a configuration with these keys of the customer "acme" and with
+  /// \p UnusedRoutes additional routes that no request uses.
   void configure(const std::vector<std::string> &Keys, double Rate = 1000,
                  std::size_t UnusedRoutes = 0);
 
   http::address StoreAddress;
-  /// The same store by another way, which can be closed by itself.
+  /// A second address of the same store, which can fail independently.
   http::address SecondStoreAddress;
   http::address PromotionAddress;
 
--- a/tests/standins/platform/platform.hpp
+++ b/tests/standins/platform/platform.hpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-/// The platform's stand-in: docs/PLATFORM.md over HTTP.
+/// Stand-in for the platform: implements docs/PLATFORM.md over HTTP.
 namespace redwinggw::standin {
 
 enum class platform_fault_kind { Outage, Slow, Silent, LoseAnswer, None };
@@ -16,7 +16,7 @@
   platform_fault_kind Kind = platform_fault_kind::None;
   base::microseconds Delay{0};
   std::uint64_t Count = 0;
-  /// Only requests of this process; empty for all.
+  /// Applies only to requests of this process; empty means all.
   std::string From;
 };
 
@@ -25,7 +25,7 @@
   std::uint64_t Writes = 0;
 };
 
-/// Used from one thread. Must outlive the server that it answers for.
+/// Used from one thread. Must outlive the server that calls it.
 class platform_standin {
 public:
   platform_standin(boost::asio::any_io_executor Executor,
--- a/tests/standins/replica_rules_test.cpp
+++ b/tests/standins/replica_rules_test.cpp
@@ -9,7 +9,7 @@
 
 standin::log_entry entry(base::term_number Term) { return {Term, {}, {}}; }
 
-/// A replica with \p Entries of term 1 that its primary has confirmed.
+/// A verified replica with \p Entries log entries of term 1.
 standin::replica replicaWith(std::size_t Entries) {
   standin::replica Replica;
   Replica.Log.assign(Entries, entry(1));
@@ -31,8 +31,8 @@
   cr_assert(promote(Replica, 3, "a"));
 }
 
-// Writes stop although a primary was promoted: the network delivered the seal
-// of the same order a second time, after the promotion.
+// Guards against sealing a promoted primary: the network delivers the seal of
+// the same order a second time, after the promotion.
 Test(rule_1, a_late_copy_of_the_seal_does_not_stop_the_new_primary) {
   standin::replica Replica = replicaWith(2);
   cr_assert(seal(Replica, 2, "a"));
@@ -42,8 +42,9 @@
   cr_assert(Replica.History.back() == (data::history_row{2, 2}));
 }
 
-// An acknowledged write is lost: a replica was sealed for a promotion, then
-// took log of the replaced primary, which took that as a confirmation.
+// Guards against losing an acknowledged write: a replica is sealed for a
+// promotion and then accepts log entries from the replaced primary, which
+// counts that as a confirmation.
 Test(rule_2, a_sealed_replica_takes_no_log_and_confirms_nothing) {
   standin::replica Replica = replicaWith(2);
   cr_assert(confirms(Replica, 1, 2));
@@ -56,8 +57,8 @@
   cr_assert(!confirms(Replica, 2, 2));
 }
 
-// A read shows a write that never happened: the old primary holds an entry
-// that no replica had when another one was promoted, and keeps it.
+// Guards against reads that return a lost write: the replaced primary keeps an
+// entry that no replica had received when another one was promoted.
 Test(rule_3, a_replaced_primary_drops_what_the_new_one_never_had) {
   standin::replica Old = replicaWith(3);
   Old.Role = endpoint_role::Primary;
@@ -86,9 +87,9 @@
   cr_assert(Replica.Log.size() == 3);
 }
 
-// An acknowledged write is lost at the second of two failovers: a replica has
-// followed the new primary but got nothing of it, and hides what it confirmed
-// in the term before.
+// Guards against losing an acknowledged write in the second of two failovers: a
+// replica follows the new primary but receives nothing from it, and hides the
+// entries that it confirmed in the previous term.
 Test(rule_3, a_replica_sealed_again_shows_its_whole_log) {
   standin::replica Replica = replicaWith(5);
   cr_assert(follow(Replica, 2, "a"));
--- a/tests/storage/own_protocol_test.cpp
+++ b/tests/storage/own_protocol_test.cpp
@@ -32,7 +32,8 @@
 
 } // namespace
 
-// Guards against a sheet that is never read because its transfer takes long.
+// Guards against a timeout that makes a large sheet unreadable over a slow
+// link.
 Test(own_protocol, reads_a_large_row_over_a_slow_link) {
   asio::io_context Context;
   const auto Executor = Context.get_executor();
@@ -43,7 +44,7 @@
                       });
   const http::address Address = Server.listen({"127.0.0.1", 0}).value();
   standin::throttled_proxy Proxy(Executor, Address);
-  // Twice the longest silence for the whole row, a twentieth for a chunk.
+  // The whole row takes twice the stall timeout, a chunk a twentieth of it.
   constexpr std::size_t BytesPerSecond = 100'000;
   constexpr base::milliseconds StallTimeout{4000};
   constexpr base::milliseconds Long{60'000};
