--- a/packages/control/include/redwinggw/control/config_changes.hpp
+++ b/packages/control/include/redwinggw/control/config_changes.hpp
@@ -5,14 +5,14 @@
 #include <string>
 #include <vector>
 
-/// What differs between two configurations, by name.
+/// Differences between two configurations.
 namespace redwinggw::control {
 
-enum class config_part { Customer, Key, Service, Read, Endpoint };
+enum class config_row_kind { Customer, Key, Service, Read, Endpoint };
 enum class change_kind { Added, Removed, Changed };
 
 struct config_change {
-  config_part Part = config_part::Customer;
+  config_row_kind RowKind = config_row_kind::Customer;
   std::string Name;
   change_kind Kind = change_kind::Changed;
 
@@ -20,18 +20,18 @@
                          const config_change &) = default;
 };
 
-/// The changes that lead from \p Old to \p New, by part and name. The versions
-/// are not compared. Thread safe.
+/// The changes from \p Old to \p New, by kind of row and name. The versions are
+/// not compared. Thread safe.
 std::vector<config_change> changesBetween(const configuration &Old,
                                           const configuration &New);
 
-/// Names as in the sheet and for people: "customer", "added". Thread safe.
-std::string_view partName(config_part Part);
+/// Names as in the sheet and in messages: "customer", "added". Thread safe.
+std::string_view rowKindName(config_row_kind RowKind);
 std::string_view changeName(change_kind Kind);
 
-/// "customer a changed, key k1 removed"; cut with a count after the first
-/// \p Most. Thread safe.
+/// "customer a changed, key k1 removed"; after the first \p Limit changes only
+/// the number of the others. Thread safe.
 std::string describe(const std::vector<config_change> &Changes,
-                     std::size_t Most = 20);
+                     std::size_t Limit = 20);
 
 } // namespace redwinggw::control
--- a/packages/control/src/config_changing.cpp
+++ b/packages/control/src/config_changing.cpp
@@ -34,18 +34,18 @@
 } // namespace
 
 task<submission_action>
-configuration_service::state::finish(submission &Submission) {
+configuration_service::state::runSubmission(submission &Submission) {
   const base::instant Deadline = base::now() + Options.SubmitTimeout;
   submission_action Action = read_config{};
   while (!isEnd(Action)) {
     if (base::now() >= Deadline || Stopped)
-      co_return config_refused{onGivenUp(Submission), {}};
+      co_return config_refused{failureOnTimeout(Submission), {}};
     if (const auto *Commit = std::get_if<config_commit>(&Action)) {
       storage::commit_request Request = Commit->Request;
       const auto Committed =
           co_await storage::commit(Store, std::move(Request));
       Action = onCommitAnswer(Submission, answerOf(Committed));
-      // Random, so that operators who race each other do not keep meeting.
+      // Random, so that concurrent operators do not conflict again and again.
       if (!isEnd(Action))
         co_await pause(randomPause());
       continue;
@@ -66,15 +66,15 @@
                       "nothing was changed: this instance does not hear a "
                       "majority of the fleet");
   submission Submission(std::move(Request), base::randomId());
-  const submission_action Action = co_await finish(Submission);
+  const submission_action Action = co_await runSubmission(Submission);
   if (const auto *Refused = std::get_if<config_refused>(&Action))
     co_return Refused->Failure;
   const auto &Accepted = std::get<config_accepted>(Action);
   base::log(log_level::Info, log_part::Configuration,
-            "Version " + std::to_string(Accepted.Version) + " is accepted.");
+            "Accepted version " + std::to_string(Accepted.Version) + ".");
   submitted Submitted;
   Submitted.Version = Accepted.Version;
-  Submitted.Already = Accepted.Already;
+  Submitted.AlreadyAccepted = Accepted.AlreadyAccepted;
   co_return co_await awaitInForce(Submitted);
 }
 
@@ -110,18 +110,18 @@
       }));
 }
 
-/// Guards against a withdrawal whose commit took effect while its answer was
-/// lost: an instance that waits for the answer would serve the key until its
-/// next read, and the operator could not tell. So the key is out of force here
-/// first, and back only when it is proved that nothing was changed.
+/// Guards against a withdrawal whose commit took effect although its answer was
+/// lost: an instance that waited for the answer would serve the key until its
+/// next read, and the operator could not know. So the key is taken out of force
+/// here first, and put back only when it is certain that nothing was changed.
 task<result<submitted>>
 configuration_service::state::withdraw(std::string KeyId) {
-  Running.insert(KeyId);
+  RunningWithdrawals.insert(KeyId);
   if (withdrawHere(InForce, KeyId))
     notify();
   config_request Request = key_withdrawal{KeyId};
   auto Withdrawn = co_await change(std::move(Request));
-  Running.erase(KeyId);
+  RunningWithdrawals.erase(KeyId);
   const bool Unknown =
       !Withdrawn && kindOf(Withdrawn.error()) == errc::OutcomeUnknown;
   const bool Gone = !Withdrawn && kindOf(Withdrawn.error()) == errc::NotFound;
@@ -136,15 +136,15 @@
   const auto Self = shared_from_this();
   config_request Request = key_withdrawal{KeyId};
   const auto Withdrawn = co_await change(std::move(Request));
-  Running.erase(KeyId);
+  RunningWithdrawals.erase(KeyId);
   if (Withdrawn)
     base::log(log_level::Info, log_part::Configuration,
-              "A withdrawal of unknown outcome was completed.");
+              "Completed a key withdrawal whose outcome was unknown.");
 }
 
 void configuration_service::state::startWithdrawals() {
   for (const customer_key &Key : InForce.Withdrawing) {
-    if (!StoreAnswers || !Running.insert(Key.Id).second)
+    if (!StoreAnswers || !RunningWithdrawals.insert(Key.Id).second)
       continue;
     boost::asio::co_spawn(Executor, finishWithdrawal(Key.Id),
                           boost::asio::detached);
--- a/packages/control/src/config_reading.cpp
+++ b/packages/control/src/config_reading.cpp
@@ -24,14 +24,14 @@
   const base::instant Sent = base::now();
   std::vector<std::string> Keys{HeadKey};
   const auto Rows = co_await storage::get(Store, std::move(Keys));
-  noteReading(Rows.has_value());
+  recordStoreResponse(Rows.has_value());
   if (!Rows)
     co_return Rows.error();
   const auto Head = headOf(Rows->front());
   if (!Head)
     co_return Head.error();
-  // The time of the question, not of the answer: something may have been
-  // accepted while the answer was on its way.
+  // The send time, not the time of the answer: a change may have been accepted
+  // while the answer was in transit.
   LastStoreAnswer = std::max(LastStoreAnswer.value_or(Sent), Sent);
   if (Ports.NoteStoreRead)
     Ports.NoteStoreRead(Sent, base::now(), Head->Version);
@@ -93,7 +93,7 @@
     apply(std::move(*Accepted));
   else
     base::log(log_level::Error, log_part::Configuration,
-              "The store's sheet is not valid here: " +
+              "The sheet in the store is not valid: " +
                   base::describe(Accepted.error()) + ".");
 }
 
@@ -119,10 +119,11 @@
 
 void configuration_service::state::notify() const {
   for (const auto &Callback : Callbacks)
-    Callback(InForce.Configuration ? *InForce.Configuration : Nothing);
+    Callback(InForce.Configuration ? *InForce.Configuration
+                                   : EmptyConfiguration);
 }
 
-void configuration_service::state::noteReading(bool Answered) {
+void configuration_service::state::recordStoreResponse(bool Answered) {
   if (Answered != StoreAnswers)
     base::log(Answered ? log_level::Info : log_level::Warning,
               log_part::Configuration,
--- a/packages/control/src/config_rows.cpp
+++ b/packages/control/src/config_rows.cpp
@@ -72,18 +72,18 @@
   });
   if (!Sheet)
     return Sheet.error();
-  if (base::digestOf(Sheet->Text) != Sheet->Digest)
+  if (base::sha256Hex(Sheet->Text) != Sheet->Digest)
     return failure(errc::BadMessage, "row " + Row.Key + ": digest differs");
   return std::optional(std::move(*Sheet));
 }
 
 result<configuration> configurationOf(const accepted_sheet &Sheet) {
-  sheet_reading Reading = readSheet(Sheet.Text);
-  if (!Reading.Configuration)
+  sheet_parse_result Parsed = parseSheet(Sheet.Text);
+  if (!Parsed.Configuration)
     return failure(errc::BadSheet, "version " + std::to_string(Sheet.Version) +
-                                       ": " + describe(Reading.Faults.front()));
-  Reading.Configuration->Version = Sheet.Version;
-  return std::move(*Reading.Configuration);
+                                       ": " + describe(Parsed.Faults.front()));
+  Parsed.Configuration->Version = Sheet.Version;
+  return std::move(*Parsed.Configuration);
 }
 
 } // namespace redwinggw::control
--- a/packages/control/src/config_submission.cpp
+++ b/packages/control/src/config_submission.cpp
@@ -43,7 +43,7 @@
   Sheet.Version = State.Head.Version + 1;
   Sheet.Submission = Submission;
   Sheet.Text = renderSheet(Configuration);
-  Sheet.Digest = base::digestOf(Sheet.Text);
+  Sheet.Digest = base::sha256Hex(Sheet.Text);
   Sheet.AcceptedAt = WallNow;
   const config_head Head{Sheet.Version, Submission, 0};
   Commit.Request.Checks.push_back({HeadKey, State.Head.RowVersion});
@@ -63,8 +63,8 @@
       "the sheet was made from version " + std::to_string(Submitted.Version) +
       ", in force is version " + std::to_string(State.Head.Version);
   if (Old && Current) {
-    Refused.Since = changesBetween(*Old, *Current);
-    Detail += "; changed since: " + describe(Refused.Since);
+    Refused.ChangesSince = changesBetween(*Old, *Current);
+    Detail += "; changed since: " + describe(Refused.ChangesSince);
   }
   Refused.Failure = failure(errc::Conflict, std::move(Detail));
   return Refused;
@@ -80,21 +80,22 @@
                                        std::to_string(MadeFrom) +
                                        ", but the newest is " +
                                        std::to_string(State.Head.Version));
-  // Guards against an operator who repeats a sheet because the answer was lost
-  // and would be told that somebody else's change came first: only the version
-  // after MadeFrom can hold this sheet, and its digest covers all of it.
+  // Guards against reporting a conflict to an operator who submits a sheet
+  // again because the answer was lost: only the version after MadeFrom can hold
+  // this sheet, and its digest covers all of it.
   const accepted_sheet *Next = sheetAt(State, MadeFrom + 1);
-  const std::string Digest = base::digestOf(renderSheet(Submitted));
+  const std::string Digest = base::sha256Hex(renderSheet(Submitted));
   if (Next != nullptr && Next->Digest == Digest)
     return config_accepted{Next->Version, true};
   return conflict(State, Submitted);
 }
 
-result<configuration> changed(configuration Current, const key_gift &Gift) {
-  const std::string &Customer = Gift.Key.Customer;
+result<configuration> changed(configuration Current,
+                              const key_addition &Addition) {
+  const std::string &Customer = Addition.Key.Customer;
   if (findCustomer(Current, Customer) == nullptr)
     return failure(errc::NotFound, "customer " + Customer);
-  Current.Keys.push_back(Gift.Key);
+  Current.Keys.push_back(Addition.Key);
   std::ranges::sort(Current.Keys, {}, &customer_key::Id);
   return Current;
 }
@@ -124,7 +125,7 @@
   return commitOf(State, *Next, Submission, WallNow);
 }
 
-/// Turns a plan into an action and remembers a commit that is to be sent.
+/// Converts a plan into an action and stores the commit that is to be sent.
 submission_action actionOf(submission &Submission, config_plan Plan) {
   if (auto *Commit = std::get_if<config_commit>(&Plan)) {
     Submission.Sent = *Commit;
@@ -143,24 +144,24 @@
                            std::int64_t WallNow) {
   if (const auto *Sheet = std::get_if<configuration>(&Request))
     return planSheet(State, *Sheet, Submission, WallNow);
-  if (const auto *Gift = std::get_if<key_gift>(&Request))
-    return planChange(State, *Gift, Submission, WallNow);
+  if (const auto *Addition = std::get_if<key_addition>(&Request))
+    return planChange(State, *Addition, Submission, WallNow);
   return planChange(State, std::get<key_withdrawal>(Request), Submission,
                     WallNow);
 }
 
-commit_fate resolveLostAnswer(const config_state &State,
-                              const config_commit &Commit) {
+lost_commit_outcome resolveLostAnswer(const config_state &State,
+                                      const config_commit &Commit) {
   const accepted_sheet &Own = Commit.Sheet;
   if (State.Head.Version < Own.Version)
-    return commit_fate::Pending;
+    return lost_commit_outcome::Pending;
   const accepted_sheet *Stored = sheetAt(State, Own.Version);
   if (Stored == nullptr)
-    return commit_fate::Forgotten;
-  // Guards against a winner's sheet taken for one's own: the id is random and
-  // written in the same commit as the version.
-  return Stored->Submission == Own.Submission ? commit_fate::Accepted
-                                              : commit_fate::Replaced;
+    return lost_commit_outcome::TooOld;
+  // Guards against mistaking another operator's sheet for our own: the id is
+  // random and written in the same commit as the version.
+  return Stored->Submission == Own.Submission ? lost_commit_outcome::Accepted
+                                              : lost_commit_outcome::Superseded;
 }
 
 std::vector<base::config_version> sheetsToRead(const submission &Submission,
@@ -186,17 +187,17 @@
                                                Submission.Id, WallNow));
   const config_commit &Sent = *Submission.Sent;
   switch (resolveLostAnswer(State, Sent)) {
-  case commit_fate::Accepted:
+  case lost_commit_outcome::Accepted:
     return config_accepted{Sent.Sheet.Version, false};
-  case commit_fate::Pending:
+  case lost_commit_outcome::Pending:
     return Sent;
-  case commit_fate::Forgotten:
-    return config_refused{onGivenUp(Submission), {}};
-  case commit_fate::Replaced:
+  case lost_commit_outcome::TooOld:
+    return config_refused{failureOnTimeout(Submission), {}};
+  case lost_commit_outcome::Superseded:
     break;
   }
-  // The head has moved, so the commit sent before can never take effect and a
-  // new one under the same id cannot double it.
+  // The head has changed, so the earlier commit can never take effect, and a
+  // new one with the same id cannot apply the change twice.
   Submission.Sent.reset();
   return actionOf(Submission, planSubmission(State, Submission.Request,
                                              Submission.Id, WallNow));
@@ -205,12 +206,12 @@
 submission_action onCommitAnswer(submission &Submission, commit_answer Answer) {
   if (Answer == commit_answer::Accepted && Submission.Sent)
     return config_accepted{Submission.Sent->Sheet.Version, false};
-  // A conflict too is read back: it may be one with an earlier try of the same
-  // commit, whose answer was lost.
+  // A conflict is resolved by a read too: it may be a conflict with an earlier
+  // try of the same commit, whose answer was lost.
   return read_config{};
 }
 
-failure onGivenUp(const submission &Submission) {
+failure failureOnTimeout(const submission &Submission) {
   if (!Submission.Sent)
     return {errc::StoreUnreachable, "nothing was changed"};
   const std::string Again =
--- a/packages/control/src/configuration.cpp
+++ b/packages/control/src/configuration.cpp
@@ -53,22 +53,22 @@
   std::vector<std::uint32_t> &Index = Configuration.KeysByDigest;
   Index.resize(Keys.size());
   std::iota(Index.begin(), Index.end(), 0U);
-  std::ranges::sort(Index, {}, [&](std::uint32_t Place) -> std::string_view {
-    return Keys[Place].Digest;
+  std::ranges::sort(Index, {}, [&](std::uint32_t Position) -> std::string_view {
+    return Keys[Position].Digest;
   });
 }
 
 const customer_key *findKey(const configuration &Configuration,
                             std::string_view FleetKey, std::string_view Key) {
-  const std::string Digest = base::toHex(base::keyedDigest(FleetKey, Key));
+  const std::string Digest = base::toHex(base::hmacSha256(FleetKey, Key));
   const std::vector<customer_key> &Keys = Configuration.Keys;
   const std::vector<std::uint32_t> &Index = Configuration.KeysByDigest;
   if (Index.size() != Keys.size())
     return findUnindexed(Keys, Digest);
   const auto Found =
       std::ranges::lower_bound(Index, std::string_view(Digest), {},
-                               [&](std::uint32_t Place) -> std::string_view {
-                                 return Keys[Place].Digest;
+                               [&](std::uint32_t Position) -> std::string_view {
+                                 return Keys[Position].Digest;
                                });
   if (Found == Index.end())
     return nullptr;
--- a/packages/control/src/demand_sources.cpp
+++ b/packages/control/src/demand_sources.cpp
@@ -12,23 +12,23 @@
 
 using base::instant;
 
-source_state stateAt(std::optional<instant> HeardAt, const source_times &Times,
-                     instant Now) {
-  if (!HeardAt)
+source_state stateAt(std::optional<instant> ReceivedAt,
+                     const source_times &Times, instant Now) {
+  if (!ReceivedAt)
     return source_state::Unknown;
-  const auto Silence = Now - *HeardAt;
-  if (Silence > Times.MissedAfter)
-    return source_state::Missed;
-  return Silence > Times.HeardFor ? source_state::Silent : source_state::Heard;
+  const auto Silence = Now - *ReceivedAt;
+  if (Silence > Times.LongSilentAfter)
+    return source_state::LongSilent;
+  return Silence > Times.FreshFor ? source_state::Silent : source_state::Fresh;
 }
 
 demand_source sourceOf(const member &Member, const source_times &Times,
                        instant Now) {
   demand_source Source;
   Source.Name = Member.Name;
-  Source.State = stateAt(Member.DirectAt, Times, Now);
+  Source.State = stateAt(Member.DirectHeartbeatAt, Times, Now);
   Source.ReportsHere = reportsHere(Member);
-  Source.Told = &Member.Report.Demands;
+  Source.Reports = &Member.Report.Demands;
   return Source;
 }
 
@@ -36,9 +36,9 @@
                        const source_times &Times, instant Now) {
   demand_source Source;
   Source.Name = std::move(Name);
-  Source.State = stateAt(Relay.DirectAt, Times, Now);
-  Source.Instances = Relay.Report.Digest.Demands.Heard;
-  Source.Summed = &Relay.Report.Digest.Demands;
+  Source.State = stateAt(Relay.DirectHeartbeatAt, Times, Now);
+  Source.Instances = Relay.Report.Digest.Demands.Contributors;
+  Source.Digest = &Relay.Report.Digest.Demands;
   return Source;
 }
 
@@ -49,46 +49,46 @@
   return Source;
 }
 
-/// The relay of \p Scope to go by: the one heard last, and while several are
-/// heard always the same, since their sums differ a little.
+/// The relay to use: the one with the latest heartbeat, and while several are
+/// fresh always the same one, since their sums differ a little.
 const member *chosenRelay(const std::vector<const member *> &Relays,
                           const source_times &Times, instant Now) {
   const auto IsBetter = [&](const member *A, const member *B) {
-    const bool HeardA = Now - *A->DirectAt <= Times.HeardFor;
-    const bool HeardB = Now - *B->DirectAt <= Times.HeardFor;
-    if (HeardA && HeardB)
+    const bool FreshA = Now - *A->DirectHeartbeatAt <= Times.FreshFor;
+    const bool FreshB = Now - *B->DirectHeartbeatAt <= Times.FreshFor;
+    if (FreshA && FreshB)
       return ranksBefore(*A, *B);
-    return *A->DirectAt > *B->DirectAt;
+    return *A->DirectHeartbeatAt > *B->DirectHeartbeatAt;
   };
   const auto Best = std::ranges::min_element(Relays, IsBetter);
   return Best == Relays.end() ? nullptr : *Best;
 }
 
 bool hasDigest(const member &Member, wire::digest_scope Scope) {
-  return Member.DirectAt && Member.Report.Digest.Scope == Scope;
+  return Member.DirectHeartbeatAt && Member.Report.Digest.Scope == Scope;
 }
 
-/// An instance that relays for nobody goes by the sums of its relay.
+/// The sources of an instance that is no relay: the sums of its relay.
 std::vector<demand_source> sourcesOfReporter(const membership &Membership,
                                              const source_times &Times,
                                              instant Now) {
   std::vector<const member *> Relays;
   for (const member &Member : Membership.Members)
     if (hasDigest(Member, wire::digest_scope::Fleet) &&
-        Member.Report.Digest.Demands.Heard > 0)
+        Member.Report.Digest.Demands.Contributors > 0)
       Relays.push_back(&Member);
   const member *Relay = chosenRelay(Relays, Times, Now);
   if (Relay == nullptr)
     return {unknownSource(static_cast<double>(Membership.Members.size()))};
   std::vector<demand_source> Sources{sourceOf(*Relay, "fleet", Times, Now)};
-  Sources.front().WithOwn = true;
+  Sources.front().IncludesOwn = true;
   Sources.front().Instances -= 1;
-  if (Relay->Report.Digest.Demands.Unknown > 0)
-    Sources.push_back(unknownSource(Relay->Report.Digest.Demands.Unknown));
+  if (Relay->Report.Digest.Demands.NeverSeen > 0)
+    Sources.push_back(unknownSource(Relay->Report.Digest.Demands.NeverSeen));
   return Sources;
 }
 
-/// The relay of each other availability zone to go by.
+/// The relay to use for each other availability zone.
 std::map<std::string_view, const member *>
 zoneRelays(const membership &Membership, const source_times &Times,
            instant Now) {
@@ -103,7 +103,7 @@
   return Chosen;
 }
 
-/// Whether \p Member's demand is part of the sums of \p Relay, of its zone.
+/// Whether the sums of \p Relay, of the same zone, include \p Member's demand.
 bool isCounted(const member &Member, const member &Relay) {
   const auto &Members = Relay.Report.Digest.Members;
   const auto Found = std::ranges::find(Members, wire::hashOf(Member.Name),
@@ -123,12 +123,13 @@
   for (const member &Member : Membership.Members) {
     demand_source Source = sourceOf(Member, Times, Now);
     const auto Relay = Relays.find(Member.Zone);
-    // Whoever has just become a relay is told of by itself and counted by its
-    // former relay for a moment; both are then held against the rate.
-    const bool Elsewhere = Source.State != source_state::Heard &&
-                           Relay != Relays.end() &&
-                           isCounted(Member, *Relay->second);
-    if (!Elsewhere)
+    // An instance that has just become a relay reports its own demand while its
+    // former relay still counts it for a moment; both then count against the
+    // rate.
+    const bool CountedByRelay = Source.State != source_state::Fresh &&
+                                Relay != Relays.end() &&
+                                isCounted(Member, *Relay->second);
+    if (!CountedByRelay)
       Sources.push_back(std::move(Source));
   }
   return Sources;
@@ -164,17 +165,17 @@
 
 source_demand demandFrom(const demand_source &Source, std::uint32_t Customer) {
   source_demand Demand;
-  if (Source.Told != nullptr)
-    if (const auto *Told = entryOf(*Source.Told, Customer))
-      Demand.Rate = Told->Rate;
-  if (Source.Summed == nullptr)
+  if (Source.Reports != nullptr)
+    if (const auto *Report = entryOf(*Source.Reports, Customer))
+      Demand.Rate = Report->Rate;
+  if (Source.Digest == nullptr)
     return Demand;
-  if (const auto *Sum = entryOf(Source.Summed->Sums, Customer))
+  if (const auto *Sum = entryOf(Source.Digest->Sums, Customer))
     Demand.Rate = Sum->Rate;
-  if (const auto *Silent = entryOf(Source.Summed->Silent, Customer)) {
+  if (const auto *Silent = entryOf(Source.Digest->Silent, Customer)) {
     Demand.SilentRate = Silent->Rate;
-    Demand.SilentPart = Silent->Part;
-    Demand.MissedPart = Silent->Missed;
+    Demand.SilentShare = Silent->Reserved;
+    Demand.LongSilentShare = Silent->LongSilent;
   }
   return Demand;
 }
--- a/packages/control/src/operator_server.cpp
+++ b/packages/control/src/operator_server.cpp
@@ -69,7 +69,7 @@
 
 void operator_server::drain() { Server.drain(); }
 
-bool operator_server::mayEnter(const http::request &Request) const {
+bool operator_server::isAuthorized(const http::request &Request) const {
   const std::string_view Shown = Request.Authorization;
   return !OperatorKey.empty() && Shown.starts_with(Scheme) &&
          base::equalInConstantTime(Shown.substr(Scheme.size()), OperatorKey);
@@ -83,7 +83,7 @@
 }
 
 task<result<json::object>> operator_server::perform(http::request Request) {
-  if (!mayEnter(Request))
+  if (!isAuthorized(Request))
     co_return failure(errc::UnknownKey, "the operators' key is needed");
   if (Request.Target == StatusPath)
     co_return status();
@@ -98,7 +98,7 @@
   try {
     co_return co_await Run(std::move(*Body));
   } catch (const std::exception &Error) {
-    // Guards against a fault of one page that would end the whole process.
+    // Guards against an exception of one route that would end the process.
     co_return failure(errc::Internal, Error.what());
   }
 }
--- a/packages/control/src/share_node.cpp
+++ b/packages/control/src/share_node.cpp
@@ -12,52 +12,55 @@
 using base::milliseconds;
 
 constexpr microseconds HintTime{1'000'000};
-/// An instance whose last read of the store is older does not see it.
-constexpr milliseconds SeesStoreWithin{3'000};
+/// An instance whose last read of the store is older than this counts as cut
+/// off from the store.
+constexpr milliseconds MaxStoreReadAge{3'000};
 
-bool seesStore(const member &Member, instant Now) {
+bool reachesStore(const member &Member, instant Now) {
   return Member.ArrivedAt && Member.Report.StoreReadAge != wire::NoAge &&
          milliseconds(Member.Report.StoreReadAge) + (Now - *Member.ArrivedAt) <=
-             SeesStoreWithin;
+             MaxStoreReadAge;
 }
 
-/// An instance that could give, with the hash of its name.
+/// An instance that could be the allocator, with the hash of its name.
 struct candidate {
   const base::instance_name *Name = nullptr;
   std::uint32_t Hash = 0;
 };
 
-/// The live instances that see the store, or all live ones when none does.
+/// The live instances that reach the store, or all live ones when none does.
 std::vector<candidate> candidates(const share_node &Node,
                                   const membership &Membership, instant Now) {
   std::vector<candidate> Live;
-  std::vector<candidate> Seeing;
+  std::vector<candidate> ReachingStore;
   for (const member &Member : Membership.Members) {
     if (Member.State != member_state::Alive &&
         Member.State != member_state::Suspect)
       continue;
     Live.push_back({&Member.Name, wire::hashOf(Member.Name)});
-    if (seesStore(Member, Now))
-      Seeing.push_back(Live.back());
+    if (reachesStore(Member, Now))
+      ReachingStore.push_back(Live.back());
   }
   if (!Node.Draining) {
     Live.push_back({&Node.Self, wire::hashOf(Node.Self)});
     const auto ReadAt = Membership.Store.ReadAt;
-    if (ReadAt && Now - *ReadAt <= SeesStoreWithin)
-      Seeing.push_back(Live.back());
+    if (ReadAt && Now - *ReadAt <= MaxStoreReadAge)
+      ReachingStore.push_back(Live.back());
   }
-  return Seeing.empty() ? Live : Seeing;
+  return ReachingStore.empty() ? Live : ReachingStore;
 }
 
 std::uint32_t rendezvousScore(const candidate &Candidate,
                               std::uint16_t Partition) {
-  constexpr std::uint32_t Odd = 0x9e3779b1U;
-  const std::uint32_t Hash = (Candidate.Hash + Partition * Odd) * Odd;
-  return (Hash ^ (Hash >> 15U)) * Odd;
+  constexpr std::uint32_t OddMultiplier = 0x9e3779b1U;
+  const std::uint32_t Hash =
+      (Candidate.Hash + Partition * OddMultiplier) * OddMultiplier;
+  return (Hash ^ (Hash >> 15U)) * OddMultiplier;
 }
 
-/// Who should give a partition, and who if that one fails: the best two by
-/// rendezvous hashing, so that a change of one instance moves only its part.
+/// The preferred allocator of a partition and the second choice: the best two
+/// by rendezvous hashing, so that adding or removing an instance moves only its
+/// partitions.
 struct ranking {
   base::instance_name First;
   base::instance_name Second;
@@ -82,10 +85,10 @@
 void onChange(share_node &Node, const share_lease &Lease, lease_change Change,
               instant Now) {
   if (Change == lease_change::Taken)
-    startPartition(Node.Giver, Node.Plans, Lease.Partition,
-                   {Lease.Start, Lease.First}, Now);
+    startPartition(Node.Allocator, Node.Plans, Lease.Partition,
+                   {Lease.InitialLevels, Lease.NeverHeld}, Now);
   if (Change == lease_change::Lost)
-    dropPartition(Node.Giver, Lease.Partition);
+    dropPartition(Node.Allocator, Lease.Partition);
 }
 
 void stepLeases(share_node &Node, const membership &Membership, instant Now) {
@@ -95,16 +98,16 @@
     ranking Ranking = rank(Candidates, Lease.Partition);
     setPreferred(Lease, Ranking.First, Now);
     Lease.Standby = std::move(Ranking.Second);
-    const bool Moves =
-        Node.Draining || shouldMove(Lease, Node.Self, Limits, Now);
-    if (!Lease.Holding || !Moves)
+    const bool HandsOver =
+        Node.Draining || shouldHandOver(Lease, Node.Self, Limits, Now);
+    if (!Lease.Holding || !HandsOver)
       continue;
-    release(Lease, levelsOf(Node.Giver, Lease.Partition, Now));
-    dropPartition(Node.Giver, Lease.Partition);
+    release(Lease, levelsOf(Node.Allocator, Lease.Partition, Now));
+    dropPartition(Node.Allocator, Lease.Partition);
   }
 }
 
-/// One commit for all rows that are due. One at a time, so that answers are
+/// One commit for all rows that are due, and one at a time, so that answers are
 /// not mixed up.
 std::optional<storage::commit_request>
 collectCommit(share_node &Node, const membership &Membership, instant Now) {
@@ -140,52 +143,56 @@
   return Member != nullptr && Member->State == member_state::Alive;
 }
 
-/// Names the holder while the row is watched: it changes with each renewal, so
-/// an old one may name an instance that is long gone. In a store outage nobody
-/// can watch it, and nobody can take the lease either: then the holder of the
-/// last row that was seen is the one to ask, if it is alive.
-wire::share_message moved(const share_node &Node, const membership &Membership,
-                          const share_lease &Lease,
-                          const wire::share_message &Request, instant Now) {
+/// Names the holder to ask instead. The row changes with each renewal, so one
+/// that was not read lately may name an instance that is long gone. In a store
+/// outage nobody can read it, and nobody can take the lease over either: then
+/// the holder in the last row read is the one to ask, if it is alive.
+wire::share_message redirect(const share_node &Node,
+                             const membership &Membership,
+                             const share_lease &Lease,
+                             const wire::share_message &Request, instant Now) {
   wire::share_message Answer = answerTo(Request, wire::share_kind::Moved);
   const bool Fresh = Now - Lease.ObservedAt <= Node.Settings.Lease.Length;
-  const bool Askable = Fresh || isAlive(Membership, Lease.Row.Holder);
-  if (Lease.Known && Askable && !Lease.Row.Released)
-    Answer.Giver = Lease.Row.Holder;
+  const bool CanBeAsked = Fresh || isAlive(Membership, Lease.Row.Holder);
+  if (Lease.Known && CanBeAsked && !Lease.Row.Released)
+    Answer.Allocator = Lease.Row.Holder;
   return Answer;
 }
 
-wire::share_message answer(share_node &Node, const membership &Membership,
-                           const wire::share_message &Request, instant Now) {
+wire::share_message answerRequest(share_node &Node,
+                                  const membership &Membership,
+                                  const wire::share_message &Request,
+                                  instant Now) {
   const share_lease &Lease = Node.Leases[Request.Partition];
-  return mayGive(Lease, Membership, Node.Settings.Lease, Now)
-             ? grant(Node.Giver, Request, Now)
-             : moved(Node, Membership, Lease, Request, Now);
+  return mayAllocate(Lease, Membership, Node.Settings.Lease, Now)
+             ? grant(Node.Allocator, Request, Now)
+             : redirect(Node, Membership, Lease, Request, Now);
 }
 
-base::instance_name giverOf(const share_node &Node, std::uint16_t Partition,
-                            instant Now) {
+base::instance_name allocatorOf(const share_node &Node, std::uint16_t Partition,
+                                instant Now) {
   const share_lease &Lease = Node.Leases[Partition];
   if (Lease.Holding)
     return Node.Self;
   const auto Hint = Node.Hints.find(Partition);
   const bool Hinted = Hint != Node.Hints.end() && Now < Hint->second.Until;
-  return Hinted ? Hint->second.Giver : Lease.Preferred;
+  return Hinted ? Hint->second.Allocator : Lease.Preferred;
 }
 
-void takeAnswer(share_node &Node, const wire::share_message &Message,
-                instant Now, share_actions &Actions) {
+void handleAnswer(share_node &Node, const wire::share_message &Message,
+                  instant Now, share_actions &Actions) {
   if (Message.Kind == wire::share_kind::Grant) {
-    std::ranges::move(onGrant(Node.Holder, Message, Now),
+    std::ranges::move(onGrant(Node.Consumer, Message, Now),
                       std::back_inserter(Actions.Verdicts));
     return;
   }
-  // The request stays in the list until it is taken for lost, which paces the
-  // next one; a hint makes that one go out at once to another instance.
-  if (Message.Giver.empty() || Message.Giver == Node.Self)
+  // Without a hint, the request stays in the list until it counts as lost,
+  // which delays the next one; a hint lets the next one go to the other
+  // instance at once.
+  if (Message.Allocator.empty() || Message.Allocator == Node.Self)
     Node.Hints.erase(Message.Partition);
-  else if (dropRequest(Node.Holder, Message))
-    Node.Hints[Message.Partition] = {Message.Giver, Now + HintTime};
+  else if (dropRequest(Node.Consumer, Message))
+    Node.Hints[Message.Partition] = {Message.Allocator, Now + HintTime};
 }
 
 } // namespace
@@ -196,10 +203,10 @@
   Node.Settings = Settings;
   Node.Self = Self;
   Node.Incarnation = Incarnation;
-  Node.Holder.Limits = Settings.Holder;
-  Node.Holder.Shares = Settings.Shares;
-  Node.Giver.Limits = Settings.Shares;
-  Node.Giver.Partitions = Settings.Partitions;
+  Node.Consumer.Limits = Settings.Consumer;
+  Node.Consumer.Shares = Settings.Shares;
+  Node.Allocator.Limits = Settings.Shares;
+  Node.Allocator.Partitions = Settings.Partitions;
   Node.Leases.resize(Settings.Partitions);
   for (std::uint16_t Index = 0; Index < Settings.Partitions; ++Index)
     Node.Leases[Index].Partition = Index;
@@ -213,30 +220,31 @@
     const share_plan Plan =
         planOf(Customer.Rate, Customer.Burst, Node.Settings.Shares);
     Node.Plans[Customer.Name] = Plan;
-    share_account &Account = Node.Holder.Accounts[Customer.Name];
+    share_account &Account = Node.Consumer.Accounts[Customer.Name];
     Account.Plan = Plan;
     Account.Partition = partitionOf(Customer.Name, Node.Settings.Partitions);
   }
   const auto IsGone = [&](const auto &Entry) {
     return !Node.Plans.contains(Entry.first);
   };
-  applyGiverPlans(
-      Node.Giver, Node.Plans,
+  applyAllocatorPlans(
+      Node.Allocator, Node.Plans,
       [&](std::uint16_t Partition) { return Node.Leases[Partition].Holding; },
       Now);
-  // Accounts with waiting requests go when these have their verdicts.
-  std::erase_if(Node.Holder.Accounts, [&](const auto &Entry) {
+  // Accounts with waiting requests are removed after their verdicts.
+  std::erase_if(Node.Consumer.Accounts, [&](const auto &Entry) {
     return IsGone(Entry) && Entry.second.Waiters.empty();
   });
-  std::erase_if(Node.Holder.Active, [&](const base::customer_name &Name) {
-    return !Node.Holder.Accounts.contains(Name);
+  std::erase_if(Node.Consumer.Active, [&](const base::customer_name &Name) {
+    return !Node.Consumer.Accounts.contains(Name);
   });
 }
 
 namespace {
 
-/// Tells the next giver that the lease is free, a few times since datagrams
-/// get lost; it would see it only at its next reading otherwise.
+/// Tells the next allocator that the lease is free; otherwise it would learn
+/// that only from its next read of the row. Sent a few times, since datagrams
+/// get lost.
 void announceReleases(share_node &Node, share_actions &Actions) {
   constexpr unsigned Times = 3;
   for (share_lease &Lease : Node.Leases) {
@@ -255,24 +263,26 @@
 
 } // namespace
 
-share_actions askForTokens(share_node &Node, const membership &Membership,
-                           instant Now) {
+share_actions requestTokens(share_node &Node, const membership &Membership,
+                            instant Now) {
   share_actions Actions;
-  for (wire::share_message &Request : dueRequests(Node.Holder, Now)) {
+  for (wire::share_message &Request : dueRequests(Node.Consumer, Now)) {
     Request.Incarnation = Node.Incarnation;
-    const base::instance_name Giver = giverOf(Node, Request.Partition, Now);
-    if (Giver == Node.Self)
-      takeAnswer(Node, answer(Node, Membership, Request, Now), Now, Actions);
-    else if (!Giver.empty())
-      Actions.Sends.push_back({Giver, std::move(Request)});
+    const base::instance_name Allocator =
+        allocatorOf(Node, Request.Partition, Now);
+    if (Allocator == Node.Self)
+      handleAnswer(Node, answerRequest(Node, Membership, Request, Now), Now,
+                   Actions);
+    else if (!Allocator.empty())
+      Actions.Sends.push_back({Allocator, std::move(Request)});
   }
   return Actions;
 }
 
 share_actions onShareTick(share_node &Node, const membership &Membership,
                           instant Now) {
-  share_actions Actions = askForTokens(Node, Membership, Now);
-  std::ranges::move(dueVerdicts(Node.Holder, Now),
+  share_actions Actions = requestTokens(Node, Membership, Now);
+  std::ranges::move(dueVerdicts(Node.Consumer, Now),
                     std::back_inserter(Actions.Verdicts));
   if (Now < Node.NextLeaseAt)
     return Actions;
@@ -295,7 +305,8 @@
   if (Message.Partition >= Node.Settings.Partitions)
     return Actions;
   if (Message.Kind == wire::share_kind::Request) {
-    Actions.Sends.push_back({From, answer(Node, Membership, Message, Now)});
+    Actions.Sends.push_back(
+        {From, answerRequest(Node, Membership, Message, Now)});
     return Actions;
   }
   if (Message.Kind == wire::share_kind::Released) {
@@ -303,11 +314,11 @@
     Node.NextLeaseAt = std::min(Node.NextLeaseAt, Now);
     return Actions;
   }
-  // An answer to a former incarnation of this instance.
+  // An answer to an earlier incarnation of this instance.
   if (Message.Incarnation != Node.Incarnation)
     return Actions;
-  takeAnswer(Node, Message, Now, Actions);
-  share_actions More = askForTokens(Node, Membership, Now);
+  handleAnswer(Node, Message, Now, Actions);
+  share_actions More = requestTokens(Node, Membership, Now);
   std::ranges::move(More.Sends, std::back_inserter(Actions.Sends));
   std::ranges::move(More.Verdicts, std::back_inserter(Actions.Verdicts));
   return Actions;
--- a/packages/control/src/share_service.cpp
+++ b/packages/control/src/share_service.cpp
@@ -29,7 +29,7 @@
 
 constexpr milliseconds TickInterval{5};
 
-/// A request that waits: its coroutine sleeps on the timer, which the verdict
+/// A waiting request: its coroutine waits for the timer, which the verdict
 /// cancels.
 struct waiting_request {
   asio::steady_timer Timer;
@@ -67,8 +67,9 @@
   storage::store &Store;
   share_options Options;
   share_node Node;
-  /// Baseline: the nth part of each customer's budget.
-  std::map<base::customer_name, share_bucket, std::less<>> Parts;
+  /// For share_policy::Static: each customer's bucket with an nth of its rate
+  /// and burst.
+  std::map<base::customer_name, share_bucket, std::less<>> StaticBuckets;
   std::map<std::uint64_t, waiting_request> Waiting;
   std::uint64_t StaticRefused = 0;
   std::uint64_t StaticSpent = 0;
@@ -140,19 +141,19 @@
                                                  instant Now) {
   const share_plan &Whole = Node.Plans.find(Customer)->second;
   const auto Instances = static_cast<double>(instanceCount(Peers.view()));
-  // Ttl 0: what is given here is spent here at once.
-  const share_plan Part{Whole.Rate / Instances, Whole.Burst / Instances,
-                        microseconds(0)};
-  const auto [At, New] = Parts.try_emplace(std::string(Customer));
+  // Ttl 0: what is allocated here is spent here at once.
+  const share_plan InstancePlan{Whole.Rate / Instances, Whole.Burst / Instances,
+                                microseconds(0)};
+  const auto [At, New] = StaticBuckets.try_emplace(std::string(Customer));
   if (New)
     At->second.FilledAt = Now;
-  setPlan(At->second, Part, Now, Node.Settings.Shares);
+  setPlan(At->second, InstancePlan, Now, Node.Settings.Shares);
   return At->second;
 }
 
 bool share_service::state::takeStatic(std::string_view Customer, instant Now) {
-  const bool Taken =
-      give(staticBucket(Customer, Now), 1, Now, Node.Settings.Shares) >= 1;
+  const bool Taken = allocateTokens(staticBucket(Customer, Now), 1, Now,
+                                    Node.Settings.Shares) >= 1;
   StaticSpent += Taken ? 1 : 0;
   return Taken;
 }
@@ -182,7 +183,7 @@
       });
   asio::co_spawn(State->Executor, tickLoop(State), asio::detached);
   base::log(base::log_level::Info, base::log_part::Shares,
-            "Shares of the rates are given and asked for.");
+            "Enforcing rates by shares that the allocators grant on request.");
 }
 
 void share_service::drain() { State->Node.Draining = true; }
@@ -196,8 +197,8 @@
 
 void share_service::apply(const configuration &Configuration) {
   applyPlans(State->Node, Configuration.Customers, base::now());
-  std::erase_if(State->Parts, [&](const auto &Part) {
-    return !State->Node.Plans.contains(Part.first);
+  std::erase_if(State->StaticBuckets, [&](const auto &Entry) {
+    return !State->Node.Plans.contains(Entry.first);
   });
 }
 
@@ -207,24 +208,25 @@
     return false;
   return State->Options.Policy == share_policy::Static
              ? State->takeStatic(Customer, Now)
-             : takeToken(State->Node.Holder, Customer, Now);
+             : takeToken(State->Node.Consumer, Customer, Now);
 }
 
 namespace {
 
-/// Waits for the verdict on a request. The holder ends it at its deadline, so
+/// Waits for the verdict on a request. The consumer ends it at its deadline, so
 /// the timer itself never fires first.
 template <typename State>
 base::task<result<void>> awaitToken(State Self, base::customer_name Customer,
                                     instant Deadline) {
   const instant Now = base::now();
   const std::uint64_t Ticket =
-      waitForToken(Self->Node.Holder, Customer, Now, Deadline);
+      waitForToken(Self->Node.Consumer, Customer, Now, Deadline);
   const auto [At, New] = Self->Waiting.emplace(
       Ticket,
       waiting_request{asio::steady_timer(Self->Executor), std::nullopt});
-  Self->carryOut(askForTokens(Self->Node, Self->Peers.view(), Now));
-  // This instance may be the giver itself: then the verdict is here.
+  Self->carryOut(requestTokens(Self->Node, Self->Peers.view(), Now));
+  // This instance may be the allocator itself: then the verdict is already
+  // here.
   while (!At->second.Verdict && !Self->Stopped) {
     boost::system::error_code Error;
     At->second.Timer.expires_at(asio::steady_timer::time_point::max());
@@ -259,9 +261,9 @@
 }
 
 share_status share_service::status() const {
-  const holder_counters &Counters = State->Node.Holder.Counters;
+  const consumer_counters &Counters = State->Node.Consumer.Counters;
   share_status Status;
-  Status.Given = State->Node.Giver.Given;
+  Status.Allocated = State->Node.Allocator.Allocated;
   Status.Spent = Counters.Spent + State->StaticSpent;
   Status.Refused = Counters.Refused + State->StaticRefused;
   Status.RefusedUnanswered = Counters.RefusedUnanswered;
--- a/packages/control/src/sheet_cells.cpp
+++ b/packages/control/src/sheet_cells.cpp
@@ -11,7 +11,7 @@
 namespace redwinggw::control {
 namespace {
 
-constexpr std::size_t LongestName = 64;
+constexpr std::size_t MaxNameLength = 64;
 constexpr std::size_t DigestLength = 64;
 constexpr unsigned char FirstPrintable = 0x20;
 constexpr unsigned char Delete = 0x7F;
@@ -25,7 +25,8 @@
   return static_cast<unsigned char>(Letter) <= Delete;
 }
 
-/// Names go into JSON, which must be UTF-8; Boost.JSON's parser checks it.
+/// Names are written into JSON, which must be UTF-8; Boost.JSON's parser checks
+/// it.
 bool isUtf8(const std::string &Text) {
   if (std::ranges::all_of(Text, isAscii))
     return true;
@@ -35,7 +36,7 @@
 }
 
 bool isName(const std::string &Text) {
-  return !Text.empty() && Text.size() <= LongestName && Text.front() != ' ' &&
+  return !Text.empty() && Text.size() <= MaxNameLength && Text.front() != ' ' &&
          Text.back() != ' ' && std::ranges::none_of(Text, isControl) &&
          isUtf8(Text);
 }
@@ -48,13 +49,13 @@
   Number Value{};
   const char *End = Cell.data() + Cell.size();
   const auto [Stop, Error] = std::from_chars(Cell.data(), End, Value);
-  const bool Inside = Range.Least <= Value && Value <= Range.Most;
+  const bool Inside = Range.Min <= Value && Value <= Range.Max;
   if (Error == std::errc() && Stop == End && Inside)
     return Value;
   std::ostringstream Allowed;
   Allowed << std::fixed;
   Allowed.precision(std::is_floating_point_v<Number> ? 3 : 0);
-  Allowed << What << " from " << Range.Least << " to " << Range.Most;
+  Allowed << What << " from " << Range.Min << " to " << Range.Max;
   addFault(Faults, Row, Column,
            Cell.empty() ? "is missing" : "'" + Cell + "' is not allowed",
            Allowed.str(),
@@ -118,7 +119,7 @@
       Digest.find_first_not_of("0123456789abcdef") == std::string::npos;
   if (Digest.size() == DigestLength && Hex)
     return Digest;
-  // The cell is not repeated: somebody may have pasted the key itself.
+  // The message omits the cell: an operator may have pasted the key itself.
   addFault(Faults, Row, sheet_column::Digest,
            Digest.empty() ? "is missing" : "is not a digest",
            "64 hexadecimal digits",
--- a/packages/control/src/sheet_csv.cpp
+++ b/packages/control/src/sheet_csv.cpp
@@ -9,7 +9,7 @@
 constexpr std::string_view QuoteRemedy =
     "put the whole cell in quotes and double each quote inside it";
 
-/// Where the reader stands in the text.
+/// The rest of the text and the number of the current row.
 struct csv_reader {
   std::string_view Rest;
   std::size_t RowNumber = 1;
--- a/packages/control/src/sheet_rows.cpp
+++ b/packages/control/src/sheet_rows.cpp
@@ -72,7 +72,7 @@
   Content.Endpoints.push_back({std::move(Endpoint), &Row});
 }
 
-/// A kind of row: the columns besides kind that it fills, and how to read it.
+/// A kind of row: the columns that it uses besides kind, and its parser.
 struct row_kind {
   std::string_view Name;
   std::vector<sheet_column> Columns;
--- a/packages/data/src/confirm.cpp
+++ b/packages/data/src/confirm.cpp
@@ -9,8 +9,9 @@
 using base::errc;
 using base::failure;
 
-bool &openFlag(confirm_member &Member, confirm_lane Lane) {
-  return Lane == confirm_lane::Wait ? Member.WaitOpen : Member.CurrentOpen;
+bool &openFlag(confirm_member &Member, confirm_query_kind QueryKind) {
+  return QueryKind == confirm_query_kind::Wait ? Member.WaitQueryOpen
+                                               : Member.CurrentQueryOpen;
 }
 
 confirm_member *memberNamed(confirm_state &State,
@@ -22,9 +23,9 @@
 
 bool holds(const confirm_state &State, const confirm_member &Member,
            const confirm_waiter &Waiter) {
-  // A replica of another term may have dropped the entry or hold another one
-  // at this position; its number alone would acknowledge a write that the next
-  // primary lacks.
+  // A replica in another term may have dropped the entry or hold a different
+  // one at this position. Its position alone would acknowledge a write that the
+  // next primary does not have.
   if (Member.Term != Waiter.Term && State.Parameters.CheckTerm)
     return false;
   return Member.Position >= Waiter.Position;
@@ -32,15 +33,15 @@
 
 bool isCurrent(const confirm_state &State, const confirm_member &Member,
                const confirm_waiter &Waiter) {
-  if (Waiter.Kind == confirm_kind::Held || !State.Parameters.CheckFresh)
+  if (Waiter.Kind == confirm_kind::Replicated || !State.Parameters.CheckCurrent)
     return true;
-  // A replaced primary still answers reads from its old data. An answer that
-  // was asked for after the request arrived shows that no majority had been
-  // sealed by then, so no later write had been acknowledged elsewhere.
+  // A replaced primary still answers reads with its old data. An answer to a
+  // query sent after the request arrived shows that no majority was sealed by
+  // then, so no later write had been acknowledged elsewhere.
   return Member.Term == Waiter.Term && Member.CurrentAt >= Waiter.Arrived;
 }
 
-/// Replicas besides the primary that must agree.
+/// Number of replicas, besides the primary, that must agree.
 std::size_t replicasNeeded(const confirm_state &State) {
   if (!State.Parameters.CheckMajority || State.Members.empty())
     return 0;
@@ -64,7 +65,7 @@
   return State.Parameters.CheckTerm && State.Term > Waiter.Term;
 }
 
-void finish(confirm_state &State, confirm_actions &Actions) {
+void finishWaiters(confirm_state &State, confirm_actions &Actions) {
   const auto IsOver = [&](const confirm_waiter &Waiter) {
     if (isConfirmed(State, Waiter)) {
       Actions.Finished.push_back({Waiter.Id, {}});
@@ -79,11 +80,11 @@
   std::erase_if(State.Waiters, IsOver);
 }
 
-/// The lowest position that a waiter still needs from \p Member. The lowest,
-/// so that the first waiter is not kept back by later ones; the answer tells
-/// all that was received and so serves those too.
-std::optional<confirm_waiter> nextWaiting(const confirm_state &State,
-                                          const confirm_member &Member) {
+/// The waiter with the lowest position that \p Member has not confirmed.
+/// Querying the lowest does not delay the first waiter for later ones; the
+/// answer reports everything that was received and so serves those too.
+std::optional<confirm_waiter> lowestMissing(const confirm_state &State,
+                                            const confirm_member &Member) {
   auto Needing = State.Waiters | std::views::filter([&](const auto &Waiter) {
                    return !holds(State, Member, Waiter);
                  });
@@ -94,8 +95,8 @@
   return *Lowest;
 }
 
-std::optional<confirm_waiter> nextCurrent(const confirm_state &State,
-                                          const confirm_member &Member) {
+std::optional<confirm_waiter> firstNotCurrent(const confirm_state &State,
+                                              const confirm_member &Member) {
   const auto Found =
       std::ranges::find_if(State.Waiters, [&](const auto &Waiter) {
         return !isCurrent(State, Member, Waiter);
@@ -105,39 +106,39 @@
   return *Found;
 }
 
-void ask(confirm_state &State, confirm_actions &Actions) {
+void createQueries(confirm_state &State, confirm_actions &Actions) {
   for (confirm_member &Member : State.Members) {
     if (Member.Name == State.Primary)
       continue;
-    const auto Waiting = nextWaiting(State, Member);
-    if (Waiting && !Member.WaitOpen) {
-      Member.WaitOpen = true;
-      Actions.Questions.push_back({Member.Name, confirm_lane::Wait,
-                                   Waiting->Term, Waiting->Position,
-                                   Member.Unhelpful});
+    const auto Waiting = lowestMissing(State, Member);
+    if (Waiting && !Member.WaitQueryOpen) {
+      Member.WaitQueryOpen = true;
+      Actions.Queries.push_back({Member.Name, confirm_query_kind::Wait,
+                                 Waiting->Term, Waiting->Position,
+                                 Member.DelayNextQuery});
     }
-    const auto Current = nextCurrent(State, Member);
-    if (Current && !Member.CurrentOpen) {
-      Member.CurrentOpen = true;
-      Actions.Questions.push_back({Member.Name, confirm_lane::Current,
-                                   Current->Term, 0, Member.Unhelpful});
+    const auto Current = firstNotCurrent(State, Member);
+    if (Current && !Member.CurrentQueryOpen) {
+      Member.CurrentQueryOpen = true;
+      Actions.Queries.push_back({Member.Name, confirm_query_kind::Current,
+                                 Current->Term, 0, Member.DelayNextQuery});
     }
   }
 }
 
-confirm_actions advance(confirm_state &State) {
+confirm_actions updateWaiters(confirm_state &State) {
   confirm_actions Actions;
-  finish(State, Actions);
-  ask(State, Actions);
+  finishWaiters(State, Actions);
+  createQueries(State, Actions);
   return Actions;
 }
 
-void note(confirm_state &State, confirm_member &Member,
-          const endpoint_state &Answer, base::instant AskedAt) {
+void recordAnswer(confirm_state &State, confirm_member &Member,
+                  const endpoint_state &Answer, base::instant AskedAt) {
   State.Term = std::max(State.Term, Answer.Term);
   if (Answer.Role == endpoint_role::Primary && Answer.Term == State.Term)
     State.Primary = Answer.Name;
-  Member.Unhelpful = !confirmsTerm(Answer, State.Term);
+  Member.DelayNextQuery = !confirmsTerm(Answer, State.Term);
   const bool Counts =
       confirmsTerm(Answer, Answer.Term) ||
       (!State.Parameters.CheckTerm && Answer.Role != endpoint_role::Primary);
@@ -148,8 +149,8 @@
     Member.Position = 0;
     Member.CurrentAt = AskedAt;
   }
-  // Within one term a replica never gives back what it received, so an answer
-  // that crossed a later one changes nothing.
+  // Within one term a replica never drops what it received, so an answer that
+  // arrives out of order changes nothing.
   Member.Position = std::max(Member.Position, Answer.Received);
   Member.CurrentAt = std::max(Member.CurrentAt, AskedAt);
 }
@@ -157,9 +158,9 @@
 } // namespace
 
 bool confirmsTerm(const endpoint_state &State, base::term_number Term) {
-  // A replica that was just told to follow may still carry entries of a lost
-  // branch; it drops them when it takes over the primary's history. Only then
-  // do its positions mean what the primary's mean.
+  // A replica that was just told to follow may still have entries of a lost
+  // branch, until it takes over the primary's history. Only then are its
+  // positions comparable with the primary's.
   const bool HasHistory =
       std::ranges::find(State.History, Term, &history_row::Term) !=
       State.History.end();
@@ -183,7 +184,7 @@
 confirm_actions addWaiter(confirm_state &State, confirm_waiter &Waiter) {
   Waiter.Id = ++State.LastId;
   State.Waiters.push_back(Waiter);
-  return advance(State);
+  return updateWaiters(State);
 }
 
 void dropWaiter(confirm_state &State, std::uint64_t Id) {
@@ -192,26 +193,26 @@
 
 confirm_actions onConfirmAnswer(confirm_state &State,
                                 const endpoint_state &Answer,
-                                std::optional<confirm_lane> Lane,
+                                std::optional<confirm_query_kind> QueryKind,
                                 base::instant AskedAt) {
   confirm_member *Member = memberNamed(State, Answer.Name);
   if (Member == nullptr)
     return {};
-  if (Lane)
-    openFlag(*Member, *Lane) = false;
-  note(State, *Member, Answer, AskedAt);
-  return advance(State);
+  if (QueryKind)
+    openFlag(*Member, *QueryKind) = false;
+  recordAnswer(State, *Member, Answer, AskedAt);
+  return updateWaiters(State);
 }
 
 confirm_actions onConfirmFailure(confirm_state &State,
                                  const base::endpoint_name &Name,
-                                 confirm_lane Lane) {
+                                 confirm_query_kind QueryKind) {
   confirm_member *Member = memberNamed(State, Name);
   if (Member == nullptr)
     return {};
-  openFlag(*Member, Lane) = false;
-  Member->Unhelpful = true;
-  return advance(State);
+  openFlag(*Member, QueryKind) = false;
+  Member->DelayNextQuery = true;
+  return updateWaiters(State);
 }
 
 } // namespace redwinggw::data
--- a/packages/data/src/connection_pool.cpp
+++ b/packages/data/src/connection_pool.cpp
@@ -43,11 +43,11 @@
                         Endpoint.Name + ": " + Connected.error().Detail);
     }
     Connection->OpenedAt = base::now();
-    Connection->AnsweredAt = Connection->OpenedAt;
+    Connection->LastAnswerAt = Connection->OpenedAt;
     co_return std::move(Connection);
   }
 
-  /// Opens one more connection, for whoever waits longest.
+  /// Opens one more connection for the request that has waited longest.
   base::task<void> openOne() {
     const auto Self = shared_from_this();
     ++Open;
@@ -63,15 +63,16 @@
 
   void startOpening() { asio::co_spawn(Executor, openOne(), asio::detached); }
 
-  /// Opens one connection ahead of need: a new one costs many times a request.
-  /// The last connection is left to those who need one now.
-  void keepSpare() {
+  /// Opens one connection ahead of demand, since opening one takes many times
+  /// as long as a request. The last connection is kept for requests that need
+  /// it now.
+  void openSpare() {
     if (Idle.empty() && Opening == 0 && Open + 1 < Limit && !Closed)
       startOpening();
   }
 
-  /// Waits until something about the connections changed. Fails when opening
-  /// one failed, and at \p Deadline.
+  /// Waits until the connections changed. Fails when opening a connection
+  /// failed, and at \p Deadline.
   base::task<result<void>> awaitChange(base::instant Deadline) {
     const auto Self = shared_from_this();
     waiter Waiter{asio::steady_timer(Executor), {}};
@@ -99,7 +100,8 @@
 
   struct waiter {
     asio::steady_timer Timer;
-    /// Why no connection could be opened; no error: look again.
+    /// Why no connection could be opened; without an error the waiter checks
+    /// again.
     failure Failure;
   };
 
@@ -108,7 +110,7 @@
   control::endpoint Endpoint;
   std::size_t Limit;
   std::size_t Open = 0;
-  /// Connections being opened; they count in Open.
+  /// Connections being opened; included in Open.
   std::size_t Opening = 0;
   bool Closed = false;
   std::vector<connection_handle> Idle;
@@ -127,9 +129,9 @@
 }
 
 base::task<result<connection_handle>>
-connection_pool::take(base::instant Deadline) {
+connection_pool::acquire(base::instant Deadline) {
   const auto Pool = State;
-  // A connection that comes back before the new one is open is taken instead.
+  // A connection that is released before the new one is open is used instead.
   while (Pool->Idle.empty()) {
     if (Pool->Closed)
       co_return failure(errc::ConnectionLimit, Pool->Endpoint.Name);
@@ -140,17 +142,17 @@
   }
   connection_handle Connection = std::move(Pool->Idle.back());
   Pool->Idle.pop_back();
-  Pool->keepSpare();
+  Pool->openSpare();
   co_return std::move(Connection);
 }
 
-void connection_pool::giveBack(connection_handle Connection) {
+void connection_pool::release(connection_handle Connection) {
   if (!Connection->Client.isOpen() || State->Closed ||
       State->Open > State->Limit) {
     discard(std::move(Connection));
     return;
   }
-  Connection->AnsweredAt = base::now();
+  Connection->LastAnswerAt = base::now();
   State->Idle.push_back(std::move(Connection));
   State->wakeOne();
 }
@@ -161,10 +163,10 @@
   State->wakeOne();
 }
 
-void connection_pool::closeSilentSince(base::instant Since) {
+void connection_pool::closeUnansweredSince(base::instant Since) {
   const std::size_t Closed =
       std::erase_if(State->Idle, [&](const connection_handle &Connection) {
-        return Connection->AnsweredAt < Since;
+        return Connection->LastAnswerAt < Since;
       });
   State->Open -= Closed;
   State->wakeOne();
--- a/packages/data/src/endpoint.cpp
+++ b/packages/data/src/endpoint.cpp
@@ -20,7 +20,7 @@
     {endpoint_role::Sealed, "sealed"},
 });
 
-/// What each refusal means for the caller.
+/// Maps a refusal's name in the protocol to the caller's error.
 struct refusal_row {
   refusal Value;
   std::string_view Name;
@@ -94,7 +94,7 @@
   return {{"name", Member.Name}, {"address", http::toText(Member.Address)}};
 }
 
-/// The body of \p Response, or nothing when it is not a JSON object.
+/// The body of \p Response; empty when it is not a JSON object.
 std::optional<json::object> bodyOf(const http::response &Response) {
   boost::system::error_code Error;
   json::value Value = json::parse(Response.Body, Error);
@@ -161,8 +161,9 @@
   return Result;
 }
 
-base::task<base::result<endpoint_state>>
-control(http::client &Client, http::request Request, base::instant Deadline) {
+base::task<base::result<endpoint_state>> sendCommand(http::client &Client,
+                                                     http::request Request,
+                                                     base::instant Deadline) {
   const auto Response = co_await Client.exchange(Request, Deadline);
   if (!Response)
     co_return Response.error();
@@ -186,7 +187,7 @@
   if (!Connected)
     co_return Connected.error();
   http::request Request = post("/connect", std::move(Instance), {});
-  auto State = co_await control(Client, std::move(Request), Deadline);
+  auto State = co_await sendCommand(Client, std::move(Request), Deadline);
   if (!State)
     Client.close();
   co_return State;
@@ -212,7 +213,7 @@
                           {"term", Request.Term},
                           {"timeout_ms", Request.Timeout.count()}};
   http::request Message = post("/status", std::move(Instance), Body);
-  co_return co_await control(Client, std::move(Message), Deadline);
+  co_return co_await sendCommand(Client, std::move(Message), Deadline);
 }
 
 base::task<base::result<endpoint_state>>
@@ -220,7 +221,7 @@
      std::string Instance, base::instant Deadline) {
   const json::object Body{{"term", Term}, {"order", Order}};
   http::request Message = post("/seal", std::move(Instance), Body);
-  co_return co_await control(Client, std::move(Message), Deadline);
+  co_return co_await sendCommand(Client, std::move(Message), Deadline);
 }
 
 base::task<base::result<endpoint_state>>
@@ -232,7 +233,7 @@
     List.push_back(membersOf(Member));
   const json::object Body{{"term", Term}, {"order", Order}, {"members", List}};
   http::request Message = post("/promote", std::move(Instance), Body);
-  co_return co_await control(Client, std::move(Message), Deadline);
+  co_return co_await sendCommand(Client, std::move(Message), Deadline);
 }
 
 base::task<base::result<endpoint_state>>
@@ -241,7 +242,7 @@
   const json::object Body{
       {"term", Term}, {"order", Order}, {"primary", membersOf(Primary)}};
   http::request Message = post("/follow", std::move(Instance), Body);
-  co_return co_await control(Client, std::move(Message), Deadline);
+  co_return co_await sendCommand(Client, std::move(Message), Deadline);
 }
 
 std::string_view roleName(endpoint_role Role) {
--- a/packages/data/src/failover_machine.cpp
+++ b/packages/data/src/failover_machine.cpp
@@ -1,4 +1,4 @@
-// The table below has more rows than the library's default limit.
+// The transition table has more rows than the library's default limit.
 #define BOOST_MPL_CFG_NO_PREPROCESSED_HEADERS
 #define BOOST_MPL_LIMIT_VECTOR_SIZE 30
 #define BOOST_MPL_LIMIT_LIST_SIZE 30
@@ -24,20 +24,20 @@
 
 /// \name Taking events in, before the machine looks at them
 /// @{
-void absorb(failover_order &Order, const order_started &Event) {
+void applyEvent(failover_order &Order, const order_started &Event) {
   Order.Now = Event.Now;
 }
 
-void absorb(failover_order &, const order_abandoned &) {}
+void applyEvent(failover_order &, const order_abandoned &) {}
 
-void absorb(failover_order &Order, const row_committed &Event) {
+void applyEvent(failover_order &Order, const row_committed &Event) {
   Order.CommitOpen = false;
   Order.Commit = Event.Outcome;
-  if (Event.Outcome == commit_outcome::Taken)
+  if (Event.Outcome == commit_outcome::Stored)
     Order.OwnVersion = Event.Version;
 }
 
-void absorb(failover_order &Order, const row_read &Event) {
+void applyEvent(failover_order &Order, const row_read &Event) {
   Order.ReadOpen = false;
   Order.RowRead = Event.Row;
   const bool Ours = Event.Row && Event.Row->Record &&
@@ -46,19 +46,19 @@
     Order.OwnVersion = Event.Row->Version;
 }
 
-void absorb(failover_order &Order, const time_passed &Event) {
+void applyEvent(failover_order &Order, const time_passed &Event) {
   Order.Now = std::max(Order.Now, Event.Now);
 }
 
-void absorb(failover_order &Order, const member_answered &Event) {
-  Order.Asked.erase(Event.Member);
+void applyEvent(failover_order &Order, const member_answered &Event) {
+  Order.InFlight.erase(Event.Member);
   Order.Refused |= Event.Refused;
   if (!Event.State)
     return;
   const endpoint_state &State = *Event.State;
   const bool Ours = State.Term == Order.Term && State.Order == Order.Plan.Order;
-  // Whoever is in a higher term, or in this one by another order, shows that
-  // this order is not the one in force.
+  // A member in a higher term, or in this term by another order, shows that
+  // this order is no longer in force.
   Order.Refused |= State.Term >= Order.Term && !Ours;
   if (!Ours)
     return;
@@ -73,8 +73,9 @@
 /// @}
 
 std::size_t sealedNeeded(const failover_order &Order) {
-  // With fewer than a majority sealed, an acknowledged write can be on the
-  // others only, and the old primary can go on acknowledging with them.
+  // If less than a majority is sealed, an acknowledged write may be only on the
+  // unsealed members, and the old primary may go on acknowledging writes with
+  // them.
   return Order.Parameters.SealMajority ? majorityOf(Order.Plan.Members.size())
                                        : 1;
 }
@@ -84,7 +85,7 @@
 }
 
 /// A majority without the suspected primary, or all members.
-bool hasClearMajority(const failover_order &Order) {
+bool hasMajorityWithoutSuspect(const failover_order &Order) {
   const auto Others =
       std::ranges::count_if(Order.Sealed, [&](const endpoint_state &State) {
         return State.Name != Order.Plan.Suspected;
@@ -94,11 +95,11 @@
 }
 
 bool isExpired(const failover_order &Order) {
-  return Order.Now - Order.StepSince >= Order.Parameters.StepFor;
+  return Order.Now - Order.StepSince >= Order.Parameters.StepTimeout;
 }
 
 bool isGraceOver(const failover_order &Order) {
-  return Order.Now - Order.StepSince >= Order.Parameters.GraceForOthers;
+  return Order.Now - Order.StepSince >= Order.Parameters.SealGrace;
 }
 
 bool isOwnOrder(const failover_order &Order) {
@@ -110,10 +111,11 @@
   return Order.RowRead && Order.RowRead->Version == Order.Plan.Row.Version;
 }
 
-bool isTaken(const failover_order &Order) {
-  // An answer can be lost after the change took effect, and a commit whose
-  // answer was lost can still take effect later. Only the row itself tells.
-  return Order.Commit == commit_outcome::Taken ||
+bool isClaimStored(const failover_order &Order) {
+  // The answer of a commit can be lost after the commit was stored, and a
+  // commit without an answer can still be stored later. Only the row shows
+  // which.
+  return Order.Commit == commit_outcome::Stored ||
          (Order.Commit == commit_outcome::Unknown &&
           !Order.Parameters.ReadBackOwnOrder);
 }
@@ -144,8 +146,8 @@
   const base::term_number Claimed = Row.Record ? Row.Record->Term : 0;
   Order.Term = std::max(Claimed, Order.Plan.SeenTerm) + 1;
   Order.CommitOpen = true;
-  // The check makes one order the winner of a term: two instances that read
-  // the same row cannot both change it.
+  // The version check lets only one order win a term: of two instances that
+  // read the same row, only one can change it.
   std::optional<std::uint64_t> Check;
   if (Order.Parameters.ConditionalClaim)
     Check = Row.Version;
@@ -159,30 +161,31 @@
   Out.emplace_back(read_row{});
 }
 
-void sealMissing(failover_order &Order, commands &Out) {
+void sealRemaining(failover_order &Order, commands &Out) {
   for (const endpoint_address &Member : Order.Plan.Members) {
     const bool Sealed =
         std::ranges::find(Order.Sealed, Member.Name, &endpoint_state::Name) !=
         Order.Sealed.end();
-    if (Sealed || !Order.Asked.insert(Member.Name).second)
+    if (Sealed || !Order.InFlight.insert(Member.Name).second)
       continue;
     Out.emplace_back(seal_member{Member, Order.Term, Order.Plan.Order});
   }
 }
 
 void promoteChosen(failover_order &Order, commands &Out) {
-  if (!Order.Asked.insert(Order.Chosen).second)
+  if (!Order.InFlight.insert(Order.Chosen).second)
     return;
   Out.emplace_back(promote_member{chosenOf(Order), Order.Term, Order.Plan.Order,
                                   othersOf(Order)});
 }
 
 void choose(failover_order &Order, commands &Out) {
-  // Chosen once: a second choice in the same term could make two primaries.
+  // Chosen only once: a second choice in the same term could result in two
+  // primaries.
   Order.Chosen = chooseMember(Order.Sealed, Order.Plan.Members.size(),
                               Order.Plan.Suspected, Order.Parameters)
                      .Name;
-  Order.Asked.clear();
+  Order.InFlight.clear();
   promoteChosen(Order, Out);
 }
 
@@ -190,7 +193,8 @@
   if (Order.CommitOpen)
     return;
   Order.CommitOpen = true;
-  // Only over this order's own claim: a later order is not overwritten.
+  // Checked against the version of this order's claim, so that a later order is
+  // not overwritten.
   Out.emplace_back(
       commit_row{Order.OwnVersion, recordOf(Order, record_state::Done)});
 }
@@ -240,8 +244,8 @@
   return !isOwnOrder(Order) && isRowUnchanged(Order);
 }
 
-bool isSealedClearly(const failover_order &Order) {
-  return !Order.Refused && hasClearMajority(Order);
+bool isSealedBeforeGrace(const failover_order &Order) {
+  return !Order.Refused && hasMajorityWithoutSuspect(Order);
 }
 
 bool isSealedAfterGrace(const failover_order &Order) {
@@ -252,7 +256,7 @@
   return !isSealedAfterGrace(Order) && !isExpired(Order);
 }
 
-bool isSealingHopeless(const failover_order &Order) {
+bool isSealingExpired(const failover_order &Order) {
   return !isSealedAfterGrace(Order) && isExpired(Order);
 }
 
@@ -287,23 +291,23 @@
   struct transition_table : mpl::vector<
     Row<idle, order_started, claiming, then<claim>, none>,
 
-    Row<claiming, row_committed, sealing, then<sealMissing>, when<isTaken>>,
-    Row<claiming, row_committed, resolving, then<readBack>, when<isTaken, false>>,
+    Row<claiming, row_committed, sealing, then<sealRemaining>, when<isClaimStored>>,
+    Row<claiming, row_committed, resolving, then<readBack>, when<isClaimStored, false>>,
     Row<claiming, time_passed, given_up, none, when<isExpired>>,
     Row<claiming, order_abandoned, given_up, none, none>,
 
-    Row<resolving, row_read, sealing, then<sealMissing>, when<isOwnOrder>>,
+    Row<resolving, row_read, sealing, then<sealRemaining>, when<isOwnOrder>>,
     Row<resolving, row_read, claiming, then<claim>, when<mayClaimAgain>>,
     Row<resolving, row_read, superseded, none, when<isOtherOrder>>,
     Row<resolving, time_passed, none, then<readBack>, when<mayRetry>>,
     Row<resolving, time_passed, given_up, none, when<isExpired>>,
     Row<resolving, order_abandoned, given_up, none, none>,
 
-    Row<sealing, member_answered, promoting, then<choose>, when<isSealedClearly>>,
+    Row<sealing, member_answered, promoting, then<choose>, when<isSealedBeforeGrace>>,
     Row<sealing, member_answered, superseded, none, when<isRefused>>,
     Row<sealing, time_passed, promoting, then<choose>, when<isSealedAfterGrace>>,
-    Row<sealing, time_passed, none, then<sealMissing>, when<maySealMore>>,
-    Row<sealing, time_passed, given_up, none, when<isSealingHopeless>>,
+    Row<sealing, time_passed, none, then<sealRemaining>, when<maySealMore>>,
+    Row<sealing, time_passed, given_up, none, when<isSealingExpired>>,
 
     Row<promoting, member_answered, recording, then<followAndRecord>, when<isPromoted>>,
     Row<promoting, member_answered, superseded, none, when<isRefused>>,
@@ -316,7 +320,7 @@
   > {};
   // clang-format on
 
-  /// Late answers, which the state no longer waits for, change nothing.
+  /// Late answers that the current state does not expect are ignored.
   template <typename Machine, typename Event>
   void no_transition(const Event &, Machine &, int) {}
 };
@@ -344,7 +348,7 @@
   machine_back &Back = Machine->Back;
   std::visit(
       [&](const auto &Each) {
-        absorb(Back.Order, Each);
+        applyEvent(Back.Order, Each);
         Back.process_event(Each);
       },
       Event);
--- a/packages/data/src/fair_queue.cpp
+++ b/packages/data/src/fair_queue.cpp
@@ -5,24 +5,23 @@
 namespace redwinggw::data {
 namespace {
 
-/// A customer may be overdrawn by so many turns at most: one very slow
-/// statement must not shut it out for long.
-constexpr int MaxOverdraft = 20;
-/// Weight of the last request in the smoothed cost is 1/CostWeight.
+/// Limits a customer's negative deficit to this many quanta, so that one very
+/// slow statement does not block the customer for long.
+constexpr int MaxDebtQuanta = 20;
+/// Weight of the latest request in the smoothed cost is 1/CostWeight.
 constexpr int CostWeight = 8;
-constexpr base::milliseconds SmallestRetryAfter{10};
+constexpr base::milliseconds MinRetryAfter{10};
 
 bool isFull(const fair_queue &Queue, const customer_queue &Own) {
-  return Queue.Size >= Queue.Settings.Total ||
-         Own.Waiting.size() >= Queue.Settings.PerCustomer;
+  return Queue.Size >= Queue.Settings.MaxTotal ||
+         Own.Waiting.size() >= Queue.Settings.MaxPerCustomer;
 }
 
 base::milliseconds retryAfter(base::microseconds Wait) {
-  return std::max(SmallestRetryAfter,
-                  std::chrono::ceil<base::milliseconds>(Wait));
+  return std::max(MinRetryAfter, std::chrono::ceil<base::milliseconds>(Wait));
 }
 
-std::optional<queue_ticket> dequeueFirst(fair_queue &Queue) {
+std::optional<queue_ticket> dequeueFifo(fair_queue &Queue) {
   if (Queue.Arrivals.empty())
     return std::nullopt;
   queue_ticket Ticket = Queue.Arrivals.front();
@@ -30,11 +29,12 @@
   return Ticket;
 }
 
-void removeFromRotation(fair_queue &Queue, const base::customer_name &Name) {
-  std::erase(Queue.Rotation, Name);
+void deactivate(fair_queue &Queue, const base::customer_name &Name) {
+  std::erase(Queue.ActiveCustomers, Name);
   customer_queue &Own = Queue.Customers.at(Name);
-  // Unused time does not add up while a customer has nothing to run; a debt
-  // stays, or a customer could shed it by pausing for one request.
+  // Unused slot time does not accumulate while a customer has no requests. A
+  // negative deficit stays: otherwise a customer could clear it by pausing for
+  // one request.
   Own.Deficit = std::min(Own.Deficit, base::microseconds(0));
 }
 
@@ -48,31 +48,34 @@
 }
 
 base::microseconds expectedWait(const fair_queue &Queue,
-                                std::string_view Customer, std::size_t Width) {
-  const auto Places =
-      static_cast<std::int64_t>(std::max<std::size_t>(1, Width));
-  const base::microseconds All = queuedWork(Queue) / Places;
+                                std::string_view Customer,
+                                std::size_t Concurrency) {
+  const auto Slots =
+      static_cast<std::int64_t>(std::max<std::size_t>(1, Concurrency));
+  const base::microseconds FifoWait = queuedWork(Queue) / Slots;
   if (Queue.Settings.Policy == queue_policy::Fifo)
-    return All;
+    return FifoWait;
   const auto Own = Queue.Customers.find(Customer);
   if (Own == Queue.Customers.end() || Own->second.Waiting.empty())
-    return std::min(All, Queue.Settings.Quantum *
-                             static_cast<std::int64_t>(Queue.Rotation.size()) /
-                             Places);
-  const auto Active = static_cast<std::int64_t>(Queue.Rotation.size());
-  const base::microseconds Mine =
-      Own->second.Cost * Own->second.Waiting.size() * Active / Places;
-  return std::min(All, Mine);
+    return std::min(
+        FifoWait, Queue.Settings.Quantum *
+                      static_cast<std::int64_t>(Queue.ActiveCustomers.size()) /
+                      Slots);
+  const auto Active = static_cast<std::int64_t>(Queue.ActiveCustomers.size());
+  const base::microseconds FairWait =
+      Own->second.Cost * Own->second.Waiting.size() * Active / Slots;
+  return std::min(FifoWait, FairWait);
 }
 
 enqueue_answer enqueue(fair_queue &Queue, queue_ticket Ticket,
-                       std::size_t Width, base::instant Now) {
-  const base::microseconds Wait = expectedWait(Queue, Ticket.Customer, Width);
+                       std::size_t Concurrency, base::instant Now) {
+  const base::microseconds Wait =
+      expectedWait(Queue, Ticket.Customer, Concurrency);
   customer_queue &Own = Queue.Customers[Ticket.Customer];
   if (isFull(Queue, Own) || Now + Wait >= Ticket.Deadline)
     return {false, retryAfter(Wait)};
   if (Own.Waiting.empty())
-    Queue.Rotation.push_back(Ticket.Customer);
+    Queue.ActiveCustomers.push_back(Ticket.Customer);
   Own.Waiting.push_back(Ticket);
   if (Queue.Settings.Policy == queue_policy::Fifo)
     Queue.Arrivals.push_back(std::move(Ticket));
@@ -82,14 +85,14 @@
 
 std::optional<queue_ticket> dequeue(fair_queue &Queue) {
   if (Queue.Settings.Policy == queue_policy::Fifo)
-    return dequeueFirst(Queue);
-  while (!Queue.Rotation.empty()) {
-    const base::customer_name Name = Queue.Rotation.front();
+    return dequeueFifo(Queue);
+  while (!Queue.ActiveCustomers.empty()) {
+    const base::customer_name Name = Queue.ActiveCustomers.front();
     customer_queue &Own = Queue.Customers.at(Name);
     if (Own.Deficit <= base::microseconds(0)) {
       Own.Deficit += Queue.Settings.Quantum;
-      Queue.Rotation.pop_front();
-      Queue.Rotation.push_back(Name);
+      Queue.ActiveCustomers.pop_front();
+      Queue.ActiveCustomers.push_back(Name);
       continue;
     }
     Own.Deficit -= Own.Cost;
@@ -97,7 +100,7 @@
     Own.Waiting.pop_front();
     --Queue.Size;
     if (Own.Waiting.empty())
-      removeFromRotation(Queue, Name);
+      deactivate(Queue, Name);
     return Ticket;
   }
   return std::nullopt;
@@ -110,11 +113,11 @@
   const auto SameId = [&](const queue_ticket &Other) {
     return Other.Id == Ticket.Id;
   };
-  const std::size_t Taken = std::erase_if(Own->second.Waiting, SameId);
-  Queue.Size -= Taken;
+  const std::size_t Removed = std::erase_if(Own->second.Waiting, SameId);
+  Queue.Size -= Removed;
   std::erase_if(Queue.Arrivals, SameId);
-  if (Taken != 0 && Own->second.Waiting.empty())
-    removeFromRotation(Queue, Own->first);
+  if (Removed != 0 && Own->second.Waiting.empty())
+    deactivate(Queue, Own->first);
 }
 
 void charge(fair_queue &Queue, std::string_view Customer,
@@ -123,7 +126,7 @@
   if (Found == Queue.Customers.end())
     return;
   customer_queue &Own = Found->second;
-  const base::microseconds Lowest = -Queue.Settings.Quantum * MaxOverdraft;
+  const base::microseconds Lowest = -Queue.Settings.Quantum * MaxDebtQuanta;
   Own.Deficit = std::max(Lowest, Own.Deficit - (Busy - Own.Cost));
   Own.Cost += (Busy - Own.Cost) / CostWeight;
 }
--- a/packages/data/src/group_failover.cpp
+++ b/packages/data/src/group_failover.cpp
@@ -14,14 +14,15 @@
 using base::errc;
 using base::log_level;
 
-constexpr base::milliseconds SuperviseEvery{25};
-constexpr base::milliseconds ReconcileEvery{100};
-/// Between two looks at the row, so that waiting instances spare the store.
+constexpr base::milliseconds SuperviseInterval{25};
+constexpr base::milliseconds ReconcileInterval{100};
+/// Pause between two reads of the row, so that waiting instances do not load
+/// the store.
 constexpr base::milliseconds RetryPause{100};
-/// Lines about a store that is down come at most so often for each group.
-constexpr base::milliseconds StoreLineEvery{5000};
+/// An unavailable store is logged at most this often per group.
+constexpr base::milliseconds StoreLogInterval{5000};
 
-/// One order while it runs; shared by the coroutines of its commands.
+/// A running failover order, shared by the coroutines of its commands.
 struct running_order {
   state_pointer State;
   base::group_name Group;
@@ -29,10 +30,9 @@
 };
 using order_pointer = std::shared_ptr<running_order>;
 
-void say(log_level Level, const base::group_name &Group,
-         const std::string &Sentence) {
-  base::log(Level, base::log_part::Failover,
-            "Group " + Group + ": " + Sentence);
+void logForGroup(log_level Level, const base::group_name &Group,
+                 const std::string &Message) {
+  base::log(Level, base::log_part::Failover, "Group " + Group + ": " + Message);
 }
 
 void execute(const order_pointer &Order,
@@ -42,14 +42,15 @@
   execute(Order, Order->Machine.process(Event));
 }
 
-row_committed committed(const base::result<std::vector<std::uint64_t>> &Done) {
+row_committed
+toCommitEvent(const base::result<std::vector<std::uint64_t>> &Done) {
   if (Done && !Done->empty())
-    return {commit_outcome::Taken, Done->front()};
+    return {commit_outcome::Stored, Done->front()};
   const bool Lost = Done.has_error() && kindOf(Done.error()) == errc::Conflict;
   return {Lost ? commit_outcome::Conflict : commit_outcome::Unknown, 0};
 }
 
-base::task<void> carryOut(order_pointer Order, commit_row Command) {
+base::task<void> perform(order_pointer Order, commit_row Command) {
   const std::string Key = recordKey(Order->Group);
   storage::commit_request Request;
   if (Command.Version)
@@ -57,7 +58,7 @@
   Request.Puts.push_back({Key, toText(Command.Record)});
   const auto Done =
       co_await storage::commit(*Order->State->Store, std::move(Request));
-  process(Order, committed(Done));
+  process(Order, toCommitEvent(Done));
 }
 
 base::task<std::optional<versioned_record>> readRecord(state_pointer State,
@@ -72,43 +73,43 @@
     co_return Row;
   const auto Record = parseRecord(Rows->front().Value);
   if (!Record) {
-    say(log_level::Error, Group,
-        "the failover record cannot be read; delete the row " +
-            recordKey(Group) + " of the table service");
+    logForGroup(log_level::Error, Group,
+                "the failover record cannot be read; delete the row " +
+                    recordKey(Group) + " of the table service");
     co_return std::nullopt;
   }
   Row.Record = *Record;
   co_return Row;
 }
 
-base::task<void> carryOut(order_pointer Order, read_row) {
+base::task<void> perform(order_pointer Order, read_row) {
   row_read Answer;
   Answer.Row = co_await readRecord(Order->State, Order->Group);
   process(Order, Answer);
 }
 
-/// Takes in a member's answer to an order, for the view and the machine.
-void answered(const order_pointer &Order, const base::endpoint_name &Member,
-              member_request Request,
-              const base::result<endpoint_state> &Answer,
-              base::instant AskedAt) {
+/// Passes a member's answer to the view and to the state machine.
+void handleAnswer(const order_pointer &Order, const base::endpoint_name &Member,
+                  member_request Request,
+                  const base::result<endpoint_state> &Answer,
+                  base::instant AskedAt) {
   member_answered Event;
   Event.Member = Member;
   Event.Request = Request;
   if (Answer) {
     Event.State = *Answer;
-    takeState(Order->State, Order->Group, *Answer, {}, AskedAt);
+    applyState(Order->State, Order->Group, *Answer, {}, AskedAt);
   } else {
     Event.Refused = kindOf(Answer.error()) == errc::TermReplaced;
   }
   process(Order, Event);
 }
 
-base::task<void> carryOut(order_pointer Order, seal_member Command) {
+base::task<void> perform(order_pointer Order, seal_member Command) {
   const state_pointer State = Order->State;
   const base::instant AskedAt = base::now();
-  const base::instant Deadline = AskedAt + State->Options.PollDeadline;
-  // A fresh connection: an old one can be silent for good.
+  const base::instant Deadline = AskedAt + State->Options.PollTimeout;
+  // A new connection, since an old one may be dead without an error.
   http::client Client(State->Executor);
   base::result<endpoint_state> Answer = base::failure(errc::Internal);
   const auto Connected =
@@ -116,13 +117,14 @@
   if (Connected)
     Answer = co_await seal(Client, Command.Term, Command.Order, State->Instance,
                            Deadline);
-  answered(Order, Command.Member.Name, member_request::Seal, Answer, AskedAt);
+  handleAnswer(Order, Command.Member.Name, member_request::Seal, Answer,
+               AskedAt);
 }
 
-base::task<void> carryOut(order_pointer Order, promote_member Command) {
+base::task<void> perform(order_pointer Order, promote_member Command) {
   const state_pointer State = Order->State;
   const base::instant AskedAt = base::now();
-  const base::instant Deadline = AskedAt + State->Options.PollDeadline;
+  const base::instant Deadline = AskedAt + State->Options.PollTimeout;
   http::client Client(State->Executor);
   base::result<endpoint_state> Answer = base::failure(errc::Internal);
   const auto Connected =
@@ -130,14 +132,14 @@
   if (Connected)
     Answer = co_await promote(Client, Command.Term, Command.Order,
                               Command.Others, State->Instance, Deadline);
-  answered(Order, Command.Member.Name, member_request::Promote, Answer,
-           AskedAt);
+  handleAnswer(Order, Command.Member.Name, member_request::Promote, Answer,
+               AskedAt);
 }
 
-base::task<void> tellToFollow(state_pointer State, base::group_name Group,
-                              follow_member Command) {
+base::task<void> sendFollow(state_pointer State, base::group_name Group,
+                            follow_member Command) {
   const base::instant AskedAt = base::now();
-  const base::instant Deadline = AskedAt + State->Options.PollDeadline;
+  const base::instant Deadline = AskedAt + State->Options.PollTimeout;
   http::client Client(State->Executor);
   const auto Connected =
       co_await Client.connect(Command.Member.Address, Deadline);
@@ -147,17 +149,17 @@
       co_await follow(Client, Command.Term, Command.Order, Command.Primary,
                       State->Instance, Deadline);
   if (Answer)
-    takeState(State, Group, *Answer, {}, AskedAt);
+    applyState(State, Group, *Answer, {}, AskedAt);
 }
 
-base::task<void> carryOut(order_pointer Order, follow_member Command) {
-  return tellToFollow(Order->State, Order->Group, std::move(Command));
+base::task<void> perform(order_pointer Order, follow_member Command) {
+  return sendFollow(Order->State, Order->Group, std::move(Command));
 }
 
 void execute(const order_pointer &Order,
              const std::vector<failover_command> &Commands) {
   const auto Spawn = [&](const auto &Command) {
-    asio::co_spawn(Order->State->Executor, carryOut(Order, Command),
+    asio::co_spawn(Order->State->Executor, perform(Order, Command),
                    asio::detached);
   };
   for (const failover_command &Command : Commands)
@@ -169,11 +171,11 @@
                      base::now()) != suspicion_cause::None;
 }
 
-bool isAgreedByPeers(const group_service_state &State,
+bool isQuorumReached(const group_service_state &State,
                      const watched_group &Group) {
   const suspicion Own{Group.View.Group, Group.View.Term};
   const auto Reports = State.Peers ? State.Peers() : std::vector<peer_report>();
-  return isAgreed(Own, Reports, State.Options.Detector);
+  return isSuspectedByQuorum(Own, Reports, State.Options.Detector);
 }
 
 failover_plan planFor(const group_service_state &State,
@@ -189,8 +191,8 @@
   return Plan;
 }
 
-/// Whether the order should stop because the primary is back before the claim
-/// was taken.
+/// Whether the order should stop because the primary recovered before the claim
+/// was stored.
 bool isObsolete(const order_pointer &Order) {
   const failover_step Step = Order->Machine.step();
   const bool Early =
@@ -201,31 +203,34 @@
 
 base::task<void> runOrder(order_pointer Order) {
   process(Order, order_started{base::now()});
-  while (!isOver(Order->Machine.step())) {
-    co_await pauseFor(Order->State->Executor, SuperviseEvery);
+  while (!isFinal(Order->Machine.step())) {
+    co_await pauseFor(Order->State->Executor, SuperviseInterval);
     if (isObsolete(Order))
       process(Order, order_abandoned{});
     process(Order, time_passed{base::now()});
   }
   const failover_order &Result = Order->Machine.order();
-  say(log_level::Warning, Order->Group,
-      "order of term " + std::to_string(Result.Term) + " ended as " +
-          std::string(stepName(Order->Machine.step())) +
-          (Result.Promoted ? ", primary is " + Result.Chosen : "") + ".");
+  logForGroup(log_level::Warning, Order->Group,
+              "order of term " + std::to_string(Result.Term) + " ended as " +
+                  std::string(stepName(Order->Machine.step())) +
+                  (Result.Promoted ? ", primary is " + Result.Chosen : "") +
+                  ".");
 }
 
-void sayStoreDown(watched_group &Group) {
-  if (base::now() - Group.StoreLineAt < StoreLineEvery)
+void logStoreDown(watched_group &Group) {
+  if (base::now() - Group.StoreLoggedAt < StoreLogInterval)
     return;
-  Group.StoreLineAt = base::now();
-  say(log_level::Error, Group.View.Group,
+  Group.StoreLoggedAt = base::now();
+  logForGroup(
+      log_level::Error, Group.View.Group,
       "the primary has failed and the platform's store does not answer; no "
       "promotion until it does. Check the platform's table service.");
 }
 
-/// Reads the row and, if nobody else is at it, orders a failover.
+/// Reads the row and orders a failover unless another instance is doing so.
 base::task<void> tryOrder(state_pointer State, base::group_name Name) {
-  // Spread, so that the first claim is seen by the others before they read.
+  // Random delay, so that the other instances see the first claim when they
+  // read.
   const base::milliseconds Jitter(State->Random() %
                                   State->Options.Jitter.count());
   co_await pauseFor(State->Executor, Jitter);
@@ -234,7 +239,7 @@
   if (Group == nullptr || !isSuspected(*State, *Group))
     co_return;
   if (!Row) {
-    sayStoreDown(*Group);
+    logStoreDown(*Group);
     co_await pauseFor(State->Executor, RetryPause);
     co_return;
   }
@@ -245,7 +250,8 @@
     co_await pauseFor(State->Executor, RetryPause);
     co_return;
   }
-  say(log_level::Warning, Name, "the primary has failed; ordering a failover.");
+  logForGroup(log_level::Warning, Name,
+              "the primary has failed; ordering a failover.");
   const auto Order = std::make_shared<running_order>(running_order{
       State, Name,
       failover(planFor(*State, *Group, *Row), State->Options.Failover)});
@@ -255,25 +261,24 @@
 base::task<void> orderFailover(state_pointer State, base::group_name Name) {
   co_await tryOrder(State, Name);
   if (watched_group *Group = findGroup(*State, Name))
-    Group->Ordering = false;
+    Group->OrderActive = false;
 }
 
 void superviseGroup(const state_pointer &State, const base::group_name &Name,
                     watched_group &Group) {
   const base::instant Now = base::now();
   observeGroup(Group.Detector, Group.View, Now);
-  const bool Orders = !Group.Ordering && isSuspected(*State, Group) &&
-                      isAgreedByPeers(*State, Group);
+  const bool Orders = !Group.OrderActive && isSuspected(*State, Group) &&
+                      isQuorumReached(*State, Group);
   if (Orders) {
-    Group.Ordering = true;
+    Group.OrderActive = true;
     asio::co_spawn(State->Executor, orderFailover(State, Name), asio::detached);
   }
-  if (Now - Group.ReconciledAt < ReconcileEvery)
+  if (Now - Group.ReconciledAt < ReconcileInterval)
     return;
   Group.ReconciledAt = Now;
   for (follow_member &Command : membersToReconcile(Group.View))
-    asio::co_spawn(State->Executor,
-                   tellToFollow(State, Name, std::move(Command)),
+    asio::co_spawn(State->Executor, sendFollow(State, Name, std::move(Command)),
                    asio::detached);
 }
 
@@ -283,7 +288,7 @@
   while (!State->Draining) {
     for (auto &[Name, Group] : State->Groups)
       superviseGroup(State, Name, Group);
-    co_await pauseFor(State->Executor, SuperviseEvery);
+    co_await pauseFor(State->Executor, SuperviseInterval);
   }
 }
 
--- a/packages/data/src/group_state.hpp
+++ b/packages/data/src/group_state.hpp
@@ -12,35 +12,37 @@
 #include <string>
 #include <utility>
 
-/// What stands behind group_service, shared by its source files.
+/// Internal state of group_service, shared by its source files.
 namespace redwinggw::data {
 
-/// Wakes one waiting coroutine.
-struct waiting {
-  explicit waiting(const boost::asio::any_io_executor &Executor)
+/// A coroutine that waits for an outcome.
+struct pending_wait {
+  explicit pending_wait(const boost::asio::any_io_executor &Executor)
       : Timer(Executor) {}
   boost::asio::steady_timer Timer;
   std::optional<base::result<void>> Outcome;
 };
 
-/// One group as its watcher keeps it.
+/// State of one monitored group.
 struct watched_group {
   group_view View;
   confirm_state Confirm;
   detector_state Detector;
   row_watch Watch;
-  /// An order of this instance runs or is being prepared.
-  bool Ordering = false;
+  /// This instance runs or prepares a failover order.
+  bool OrderActive = false;
   base::instant ReconciledAt;
-  /// Last line about a store that is down.
-  base::instant StoreLineAt;
-  /// Requests that wait for a confirmation, by the id of their waiter.
-  std::map<std::uint64_t, std::shared_ptr<waiting>> Confirming;
+  /// When an unavailable store was last logged.
+  base::instant StoreLoggedAt;
+  /// Requests that wait for a confirmation, by the id of their waiter in
+  /// Confirm.
+  std::map<std::uint64_t, std::shared_ptr<pending_wait>> ConfirmationWaits;
   /// Requests that wait for a primary.
-  std::vector<std::shared_ptr<waiting>> ForPrimary;
-  /// Connections for questions of the coalescer, while they are idle.
-  std::map<std::pair<base::endpoint_name, confirm_lane>, http::client> Lanes;
-  /// Members that a coroutine polls.
+  std::vector<std::shared_ptr<pending_wait>> PrimaryWaits;
+  /// Idle connections for confirmation queries.
+  std::map<std::pair<base::endpoint_name, confirm_query_kind>, http::client>
+      QueryClients;
+  /// Members that have a polling coroutine.
   std::set<std::pair<base::endpoint_name, http::address>> Polled;
 };
 
@@ -52,40 +54,42 @@
   std::map<base::group_name, watched_group, std::less<>> Groups;
   std::vector<std::function<void(const base::group_name &)>> Hooks;
   std::function<std::vector<peer_report>()> Peers;
-  /// Source of the jitter.
+  /// Random source of the jitter.
   std::mt19937 Random{std::random_device{}()};
   bool Started = false;
   bool Draining = false;
 };
 
-/// Coroutines hold the state by this, so that it outlives the service.
+/// Keeps the state alive in coroutines that outlive the service.
 using state_pointer = std::shared_ptr<group_service_state>;
 
-/// The group called \p Name, null when the configuration has none.
+/// The group named \p Name, null when the configuration has none.
 watched_group *findGroup(group_service_state &State, std::string_view Name);
 
-/// Whether the group has a primary that is not suspected.
+/// Whether the group has a primary that this instance does not suspect.
 bool hasPrimary(const group_service_state &State, const watched_group &Group);
 
-/// Takes in a state that a member told, and acts on what changed.
-void takeState(const state_pointer &State, const base::group_name &Group,
-               const endpoint_state &Told, std::optional<confirm_lane> Lane,
-               base::instant AskedAt);
+/// Updates the group with a state that a member reported, then wakes waiting
+/// requests and calls the change hooks as needed.
+void applyState(const state_pointer &State, const base::group_name &Group,
+                const endpoint_state &Reported,
+                std::optional<confirm_query_kind> QueryKind,
+                base::instant AskedAt);
 
-/// Ends the waits and sends the questions that \p Actions name.
-void carryOut(const state_pointer &State, const base::group_name &Group,
-              confirm_actions Actions);
+/// Wakes the finished waiters and sends the queries in \p Actions.
+void perform(const state_pointer &State, const base::group_name &Group,
+             confirm_actions Actions);
 
-/// Sends \p Request on \p Client, over a new connection when it has none.
+/// Sends \p Request on \p Client; connects first if necessary.
 base::task<base::result<endpoint_state>>
-askStatus(state_pointer State, http::client &Client, http::address Address,
-          status_request Request, base::instant Deadline);
+queryStatus(state_pointer State, http::client &Client, http::address Address,
+            status_request Request, base::instant Deadline);
 
-/// Polls one member until it leaves the configuration.
+/// Polls one member until it is removed from the configuration.
 base::task<void> pollMember(state_pointer State, base::group_name Group,
                             control::endpoint Endpoint);
 
-/// Looks after the failovers of all groups until the service drains.
+/// Supervises the failovers of all groups until the service drains.
 base::task<void> superviseGroups(state_pointer State);
 
 /// Pauses the calling coroutine.
@@ -93,10 +97,10 @@
                           base::microseconds Duration);
 
 /// Wakes \p Waiting with \p Outcome.
-void wake(waiting &Waiting, base::result<void> Outcome);
+void wake(pending_wait &Waiting, base::result<void> Outcome);
 
 /// Waits for wake; empty when \p Deadline passed first.
 base::task<std::optional<base::result<void>>>
-waitFor(std::shared_ptr<waiting> Waiting, base::instant Deadline);
+waitFor(std::shared_ptr<pending_wait> Waiting, base::instant Deadline);
 
 } // namespace redwinggw::data
--- a/packages/data/src/request_record.cpp
+++ b/packages/data/src/request_record.cpp
@@ -11,10 +11,11 @@
 using base::errc;
 using base::failure;
 
-/// Records outlive the retention by the clocks' largest disagreement, so that
-/// no instance deletes what another would still accept.
+/// Records are kept longer than the retention by the largest clock difference
+/// between instances, so that no instance deletes a record that another would
+/// still accept.
 constexpr std::int64_t ClockMargin = 60LL * 60 * 1000;
-/// A caller's clock may be ahead by so much.
+/// Tolerance for a caller's clock that is ahead.
 constexpr std::int64_t FutureMargin = 5LL * 60 * 1000;
 constexpr int DeleteBatch = 1000;
 
@@ -32,15 +33,15 @@
 }
 
 std::string requestDigest(const std::vector<std::string> &Parts) {
-  // Each part goes in with its length: otherwise two different requests could
-  // run together to the same text.
+  // Each part is preceded by its length; otherwise different requests could be
+  // concatenated to the same text.
   std::string All;
   for (const std::string &Part : Parts)
     All.append(std::to_string(Part.size())).append(":").append(Part);
-  return base::digestOf(All);
+  return base::sha256Hex(All);
 }
 
-statement createRecords() {
+statement createRecordTable() {
   return {"create table if not exists redwinggw_request("
           "customer text not null, id text not null, digest text not null, "
           "issued_at integer not null, state text not null, "
@@ -105,13 +106,13 @@
              std::string::npos;
 }
 
-repeat_verdict judgeRepeat(const request_record &Record,
-                           const request_identity &Identity) {
+retry_verdict classifyRetry(const request_record &Record,
+                            const request_identity &Identity) {
   if (Record.State == request_state::Cancelled)
-    return repeat_verdict::Cancelled;
+    return retry_verdict::Cancelled;
   if (!Identity.Digest.empty() && Record.Digest != Identity.Digest)
-    return repeat_verdict::Reused;
-  return repeat_verdict::Done;
+    return retry_verdict::Reused;
+  return retry_verdict::Done;
 }
 
 } // namespace redwinggw::data
--- a/packages/data/src/statement_core.cpp
+++ b/packages/data/src/statement_core.cpp
@@ -28,26 +28,26 @@
   return std::uniform_real_distribution<>(0, 1)(Core.Random);
 }
 
-/// Whether the endpoint said anything: then the connection is in order.
+/// Whether the endpoint answered at all; if so, the connection still works.
 bool hasAnswered(const run_result &Result) {
   return Result.Answer.has_value() || Result.Failed.Refusal != refusal::None;
 }
 
-void settle(statement_core &Core, dispatcher &Target, const call &Call,
-            connection_handle Connection, const run_result &Result,
-            base::instant SentAt) {
+void finishRun(statement_core &Core, dispatcher &Target, const call &Call,
+               connection_handle Connection, const run_result &Result,
+               base::instant SentAt) {
   const bool Answered = hasAnswered(Result);
   if (Result.Answer)
     Core.Ports.NoteState(Target.endpoint().Group, Result.Answer->State, SentAt);
   Core.Ports.NoteTraffic(Target.endpoint().Group, Target.endpoint().Name,
                          Answered, SentAt);
   if (Answered) {
-    noteSuccess(Target.circuitState());
-    Target.pool().giveBack(std::move(Connection));
+    noteSuccess(Target.breaker());
+    Target.pool().release(std::move(Connection));
   } else {
-    noteFailure(Target.circuitState(), base::now(), randomUnit(Core));
+    noteFailure(Target.breaker(), base::now(), randomUnit(Core));
     Target.pool().discard(std::move(Connection));
-    Target.pool().closeSilentSince(SentAt);
+    Target.pool().closeUnansweredSince(SentAt);
   }
   std::optional<base::microseconds> Busy;
   if (Result.Answer)
@@ -55,10 +55,10 @@
   Target.release(Call.Customer, base::now() - SentAt, Busy);
 }
 
-/// Failures that reached no endpoint. Such a request waits for the group to get
-/// a primary that answers; it adds no load, so it takes nothing from the
-/// budget of repeats.
-bool isWithoutPrimary(const failure &Failure) {
+/// Failures where no primary accepted the request. Such a request waits until
+/// the group has a primary that answers. It adds no load, so it uses no token
+/// of the retry budget.
+bool hasNoWorkingPrimary(const failure &Failure) {
   switch (kindOf(Failure)) {
   case errc::EndpointUnreachable:
   case errc::NotPrimary:
@@ -70,12 +70,12 @@
   }
 }
 
-/// Whether the primary that is known failed a moment ago. A new primary, or
-/// the old one after its pause, is worth a try.
+/// Whether requests to the known primary have just failed. A new primary, or
+/// the old one once its circuit breaker closes again, is worth a try.
 bool isPrimaryFailing(const statement_core &Core, std::string_view Group) {
   const group_view *View = Core.Ports.View(Group);
   const auto Primary = View == nullptr ? nullptr : primaryOf(Core, *View);
-  return Primary && !isClosed(Primary->circuitState(), base::now());
+  return Primary && !isClosed(Primary->breaker(), base::now());
 }
 
 std::size_t limitOf(const control::endpoint &Endpoint, std::size_t Instances) {
@@ -130,19 +130,19 @@
 base::task<run_result> runAt(statement_core &Core,
                              std::shared_ptr<dispatcher> Target, call &Call,
                              run_request Request) {
-  const auto Turn = co_await Target->acquire(Call.Customer, Call.Deadline);
-  if (!Turn)
-    co_return failed(Turn.error());
-  if (const auto May = mayStillRun(Core, Call); !May) {
+  const auto Acquired = co_await Target->acquire(Call.Customer, Call.Deadline);
+  if (!Acquired)
+    co_return failed(Acquired.error());
+  if (const auto Allowed = mayStillRun(Core, Call); !Allowed) {
     Target->release(Call.Customer, {}, std::nullopt);
-    co_return failed(May.error());
+    co_return failed(Allowed.error());
   }
   const base::instant Deadline =
       std::min(Call.Deadline, base::now() + Core.Settings.TryTimeout);
-  auto Connection = co_await Target->pool().take(Deadline);
+  auto Connection = co_await Target->pool().acquire(Deadline);
   if (!Connection) {
     if (kindOf(Connection.error()) == errc::EndpointUnreachable) {
-      noteFailure(Target->circuitState(), base::now(), randomUnit(Core));
+      noteFailure(Target->breaker(), base::now(), randomUnit(Core));
       Core.Ports.NoteTraffic(Call.Group, Target->endpoint().Name, false,
                              base::now());
     }
@@ -154,7 +154,7 @@
                     Call.Request.RequestId);
   run_result Result = co_await run((*Connection)->Client, Request,
                                    Core.Settings.Instance, Deadline);
-  settle(Core, *Target, Call, std::move(*Connection), Result, SentAt);
+  finishRun(Core, *Target, Call, std::move(*Connection), Result, SentAt);
   co_return Result;
 }
 
@@ -180,8 +180,8 @@
 
 base::task<result<void>> awaitRetry(statement_core &Core, const call &Call,
                                     unsigned Try, const failure &Last) {
-  const bool Parked = isWithoutPrimary(Last);
-  if (!Parked && !takeRetry(Core.Budget)) {
+  const bool AwaitsPrimary = hasNoWorkingPrimary(Last);
+  if (!AwaitsPrimary && !spendRetry(Core.Budget)) {
     ++Core.Counters.RetriesRefused;
     co_return Last;
   }
@@ -192,7 +192,7 @@
       co_return Last;
     asio::steady_timer Timer(Core.Executor, Pause);
     co_await Timer.async_wait(Token);
-  } while (Parked && isPrimaryFailing(Core, Call.Group));
+  } while (AwaitsPrimary && isPrimaryFailing(Core, Call.Group));
   co_return result<void>();
 }
 
--- a/packages/data/src/write_path.cpp
+++ b/packages/data/src/write_path.cpp
@@ -13,15 +13,15 @@
 using base::failure;
 using base::result;
 
-/// A write on its way to a known outcome.
+/// A write over all its tries.
 struct write_attempt {
   request_identity Identity;
-  /// Some try was sent and not answered: it may have run.
+  /// A try was sent without an answer, so it may have run.
   bool MayHaveRun = false;
 };
 
-/// What one try came to.
-struct write_step {
+/// Result of one try.
+struct write_try {
   std::optional<caller_answer> Answer;
   failure Failure;
 };
@@ -31,7 +31,7 @@
   return Changes == nullptr ? 0 : Changes->to_number<std::int64_t>();
 }
 
-write_step stopped(failure Failure) {
+write_try failedTry(failure Failure) {
   return {std::nullopt, std::move(Failure)};
 }
 
@@ -46,58 +46,60 @@
   return Request;
 }
 
-/// The table of records is made on first use of a group.
-base::task<failure> makeRecords(statement_core &Core, call &Call,
-                                std::shared_ptr<dispatcher> Target,
-                                base::term_number Term) {
+/// Creates the table of request records, on the first use of a group.
+base::task<failure> ensureRecordTable(statement_core &Core, call &Call,
+                                      std::shared_ptr<dispatcher> Target,
+                                      base::term_number Term) {
   run_request Request;
   Request.ExpectTerm = Term;
-  Request.Statements = {createRecords()};
+  Request.Statements = {createRecordTable()};
   run_result Ran =
       co_await runAt(Core, std::move(Target), Call, std::move(Request));
   if (!Ran.Answer)
     co_return Ran.Failed.Failure;
-  // The write that asked for the table runs after it, so that its own
-  // confirmation covers this one.
+  // The write that needed the table runs after this, so its own confirmation
+  // covers the table's creation too.
   co_return failure(errc::EndpointRefused, "the table of records was missing");
 }
 
-/// The unique key of the record, or one of the statement's own, was taken:
-/// answers with what the record says, or with \p Missing when there is none.
-base::task<write_step> meetRecord(statement_core &Core, call &Call,
-                                  const write_attempt &Attempt,
-                                  failure Missing) {
+/// The record's unique key, or one of the statement's own, was already taken:
+/// answers from the record, or with \p Missing when there is none.
+base::task<write_try> answerFromRecord(statement_core &Core, call &Call,
+                                       const write_attempt &Attempt,
+                                       failure Missing) {
   const auto Found = co_await readRecord(Core, Call, Attempt.Identity);
   if (!Found)
-    co_return stopped(Found.error());
+    co_return failedTry(Found.error());
   const std::optional<request_record> &Record = Found->Record;
   if (!Record)
-    co_return stopped(std::move(Missing));
+    co_return failedTry(std::move(Missing));
   auto Answer = answerOf(*Record, Attempt.Identity);
   if (!Answer)
-    co_return stopped(Answer.error());
+    co_return failedTry(Answer.error());
   Answer->Session = tokenAfter(Core, Call, Found->Term, Found->Position);
-  co_return write_step{std::move(*Answer), {}};
+  co_return write_try{std::move(*Answer), {}};
 }
 
-/// Waits until every promotion must find the write, then words the answer.
-base::task<write_step> confirmed(statement_core &Core, call &Call,
-                                 json::value Result, base::term_number Term,
-                                 base::log_position Position) {
+/// Waits until a majority holds the write, so that every promotion keeps it,
+/// then builds the answer.
+base::task<write_try> awaitConfirmation(statement_core &Core, call &Call,
+                                        json::value Result,
+                                        base::term_number Term,
+                                        base::log_position Position) {
   const auto Confirmed = co_await Core.Ports.Confirm(
-      Call.Group, Term, Position, Call.Deadline, confirm_kind::Held);
+      Call.Group, Term, Position, Call.Deadline, confirm_kind::Replicated);
   if (!Confirmed)
-    co_return stopped(Confirmed.error());
+    co_return failedTry(Confirmed.error());
   caller_answer Answer;
   Answer.Result = std::move(Result);
   Answer.Session = tokenAfter(Core, Call, Term, Position);
   Answer.ServedBy = "primary";
-  co_return write_step{std::move(Answer), {}};
+  co_return write_try{std::move(Answer), {}};
 }
 
-/// A write that returns rows takes a second round trip: the rows go into its
-/// record before the commit, so that a repeat gets them too. The answer is
-/// that of a recorded run.
+/// A write that returns rows needs a second round trip: the rows are stored in
+/// its record before the commit, so that a retry gets them too. The result has
+/// the same form as that of a single recorded run.
 base::task<run_result> runReturning(statement_core &Core, call &Call,
                                     std::shared_ptr<dispatcher> Target,
                                     const write_attempt &Attempt,
@@ -111,7 +113,7 @@
   run_result Ran = co_await runPinned(Core, Pinned, Call, std::move(First));
   if (!Ran.Answer || Ran.Answer->Results.size() < 2) {
     unpin(Core, Pinned, false);
-    // Nothing was committed: the connection is closed, which rolls back.
+    // Nothing was committed: closing the connection rolls back.
     if (retryKindOf(Ran.Failed.Failure) == retry_kind::SameId)
       Ran.Failed.Failure.Code = make_error_code(errc::EndpointUnreachable);
     co_return Ran;
@@ -130,7 +132,7 @@
   co_return Committed;
 }
 
-/// One recorded run of the write at \p Target.
+/// One run of the write at \p Target, together with its record.
 base::task<run_result> runRecorded(statement_core &Core, call &Call,
                                    std::shared_ptr<dispatcher> Target,
                                    const write_attempt &Attempt,
@@ -141,19 +143,19 @@
   co_return co_await runAt(Core, Target, Call, std::move(Request));
 }
 
-base::task<write_step> tryWrite(statement_core &Core, call &Call,
-                                write_attempt &Attempt) {
+base::task<write_try> tryWrite(statement_core &Core, call &Call,
+                               write_attempt &Attempt) {
   const auto View = co_await awaitPrimary(Core, Call);
   if (!View)
-    co_return stopped(View.error());
+    co_return failedTry(View.error());
   const base::term_number Term = (*View)->Term;
   const std::shared_ptr<dispatcher> Target = primaryOf(Core, **View);
   run_result Ran = co_await runRecorded(Core, Call, Target, Attempt, Term);
   if (Ran.Answer && Ran.Answer->Results.size() > 1) {
     json::value Result = std::move(Ran.Answer->Results[1]);
     const base::log_position Position = Ran.Answer->Position;
-    write_step Step =
-        co_await confirmed(Core, Call, std::move(Result), Term, Position);
+    write_try Step = co_await awaitConfirmation(Core, Call, std::move(Result),
+                                                Term, Position);
     if (!Step.Answer)
       Attempt.MayHaveRun = true;
     co_return Step;
@@ -163,19 +165,19 @@
   if (retryKindOf(Failure) == retry_kind::SameId)
     Attempt.MayHaveRun = true;
   if (Ran.Failed.Refusal == refusal::UniqueKey)
-    co_return co_await meetRecord(Core, Call, Attempt, Failure);
+    co_return co_await answerFromRecord(Core, Call, Attempt, Failure);
   if (isMissingTable(Failure))
-    co_return stopped(co_await makeRecords(Core, Call, Target, Term));
-  co_return stopped(Failure);
+    co_return failedTry(co_await ensureRecordTable(Core, Call, Target, Term));
+  co_return failedTry(Failure);
 }
 
-/// Cancels the request unless it has run, in one step: the record takes the
-/// unique key, so that a try which is still on its way finds it taken.
-base::task<write_step> tryOutcome(statement_core &Core, call &Call,
-                                  const write_attempt &Attempt) {
+/// Cancels the request atomically unless it has run: the record takes the
+/// unique key, so a try that is still in flight fails on it.
+base::task<write_try> tryOutcome(statement_core &Core, call &Call,
+                                 const write_attempt &Attempt) {
   const auto View = co_await awaitPrimary(Core, Call);
   if (!View)
-    co_return stopped(View.error());
+    co_return failedTry(View.error());
   const base::term_number Term = (*View)->Term;
   const std::shared_ptr<dispatcher> Target = primaryOf(Core, **View);
   run_request Request;
@@ -186,25 +188,25 @@
   if (Ran.Answer) {
     const auto Confirmed =
         co_await Core.Ports.Confirm(Call.Group, Term, Ran.Answer->Position,
-                                    Call.Deadline, confirm_kind::Held);
-    co_return stopped(Confirmed ? failure(errc::RequestCancelled)
-                                : Confirmed.error());
+                                    Call.Deadline, confirm_kind::Replicated);
+    co_return failedTry(Confirmed ? failure(errc::RequestCancelled)
+                                  : Confirmed.error());
   }
   if (isMissingTable(Ran.Failed.Failure))
-    co_return stopped(co_await makeRecords(Core, Call, Target, Term));
+    co_return failedTry(co_await ensureRecordTable(Core, Call, Target, Term));
   if (Ran.Failed.Refusal != refusal::UniqueKey)
-    co_return stopped(Ran.Failed.Failure);
+    co_return failedTry(Ran.Failed.Failure);
   failure Gone(errc::OutcomeUnknown, "the record is gone");
-  co_return co_await meetRecord(Core, Call, Attempt, std::move(Gone));
+  co_return co_await answerFromRecord(Core, Call, Attempt, std::move(Gone));
 }
 
-/// Whether another try may settle the outcome. Each try carries the same
-/// record, so the request runs once however many tries arrive.
+/// Whether another try may determine the outcome. All tries carry the same
+/// record, so the request runs at most once.
 bool mayTryAgain(const failure &Failure) {
   return retryKindOf(Failure) != retry_kind::Never;
 }
 
-/// "Not run" is said only when no try can have run.
+/// Reports "not run" only when no try can have run.
 failure finalFailure(const write_attempt &Attempt, const failure &Failure) {
   const base::outcome Outcome = base::kindOf(kindOf(Failure)).Outcome;
   if (Attempt.MayHaveRun && Outcome == base::outcome::NotRun &&
@@ -231,12 +233,12 @@
 
 result<caller_answer> answerOf(const request_record &Record,
                                const request_identity &Identity) {
-  switch (judgeRepeat(Record, Identity)) {
-  case repeat_verdict::Cancelled:
+  switch (classifyRetry(Record, Identity)) {
+  case retry_verdict::Cancelled:
     return failure(errc::RequestCancelled);
-  case repeat_verdict::Reused:
+  case retry_verdict::Reused:
     return failure(errc::RequestIdReused);
-  case repeat_verdict::Done:
+  case retry_verdict::Done:
     break;
   }
   caller_answer Answer;
@@ -262,9 +264,9 @@
   run_result Ran = co_await runAt(Core, Target, Call, std::move(Request));
   if (!Ran.Answer)
     co_return Ran.Failed.Failure;
-  const auto Confirmed =
-      co_await Core.Ports.Confirm(Call.Group, Term, Ran.Answer->Position,
-                                  Call.Deadline, confirm_kind::HeldAndCurrent);
+  const auto Confirmed = co_await Core.Ports.Confirm(
+      Call.Group, Term, Ran.Answer->Position, Call.Deadline,
+      confirm_kind::ReplicatedAndCurrent);
   if (!Confirmed)
     co_return Confirmed.error();
   co_return found_record{recordOf(Ran.Answer->Results.at(0)), Term,
@@ -279,7 +281,7 @@
   if (!Aged)
     co_return Aged.error();
   for (unsigned Try = 1;; ++Try) {
-    write_step Step = co_await tryWrite(Core, Call, Attempt);
+    write_try Step = co_await tryWrite(Core, Call, Attempt);
     if (Step.Answer)
       co_return std::move(*Step.Answer);
     if (!mayTryAgain(Step.Failure))
@@ -293,14 +295,14 @@
 base::task<result<caller_answer>> serveOutcome(statement_core &Core,
                                                call Call) {
   write_attempt Attempt{identityOf(Call), false};
-  // An enquiry names the id, not the body: it asks for whatever ran under it.
+  // An outcome query names only the id: it matches any request with that id.
   Attempt.Identity.Digest.clear();
   const auto Aged =
       checkAge(Attempt.Identity.IssuedAt, base::wallMilliseconds());
   if (!Aged)
     co_return Aged.error();
   for (unsigned Try = 1;; ++Try) {
-    write_step Step = co_await tryOutcome(Core, Call, Attempt);
+    write_try Step = co_await tryOutcome(Core, Call, Attempt);
     if (Step.Answer)
       co_return std::move(*Step.Answer);
     if (!mayTryAgain(Step.Failure))
--- a/packages/redwinggw/src/instance.cpp
+++ b/packages/redwinggw/src/instance.cpp
@@ -17,11 +17,11 @@
 using base::log_part;
 
 constexpr auto Token = asio::as_tuple(asio::use_awaitable);
-constexpr base::milliseconds HousekeepingEvery{100};
-constexpr base::milliseconds CleaningEvery{10 * 60 * 1000};
-/// The balancer and callers on kept connections learn in this time that the
+constexpr base::milliseconds HousekeepingInterval{100};
+constexpr base::milliseconds RecordCleanupInterval{10 * 60 * 1000};
+/// Time in which the balancer and callers with open connections learn that the
 /// instance leaves.
-constexpr base::milliseconds ShortestDrain{500};
+constexpr base::milliseconds MinDrainTime{500};
 
 base::task<void> pause(asio::any_io_executor Executor,
                        base::milliseconds Time) {
@@ -29,8 +29,8 @@
   co_await Timer.async_wait(Token);
 }
 
-/// Follows the platform's list: with more instances each opens fewer of an
-/// endpoint's connections.
+/// Divides the endpoints' connections anew when the number of instances on the
+/// platform's list changes: with more instances each opens fewer.
 void shareConnections(instance_state &State) {
   const std::size_t Instances = instanceCount(State.Peers.view());
   if (Instances == State.SharedAmong)
@@ -40,31 +40,34 @@
                            Instances);
 }
 
-/// Work that comes back every so often: currency, abandoned transactions.
+/// One round of periodic work: freshness of the configuration, abandoned
+/// transactions, division of connections, suspicions.
 void housekeep(instance_state &State) {
-  judgeCurrency(State);
+  judgeFreshness(State);
   data::closeAbandoned(State.Statements, State.Transactions, base::now());
   shareConnections(State);
-  // A suspicion begins by the passing of time, without any event.
-  tellSuspicions(State);
+  // A suspicion begins when time passes without an answer, not with an event.
+  announceSuspicions(State);
 }
 
-base::task<void> keepHouse(std::shared_ptr<instance_state> State) {
+base::task<void> runHousekeeping(std::shared_ptr<instance_state> State) {
   while (State->Life.state() != kernel::life_state::Stopped) {
     housekeep(*State);
-    co_await pause(State->Context.get_executor(), HousekeepingEvery);
+    co_await pause(State->Context.get_executor(), HousekeepingInterval);
   }
 }
 
-base::task<void> cleanRecords(std::shared_ptr<instance_state> State) {
-  // The first pause is spread, so that instances started together do not clean
-  // together.
-  std::uniform_int_distribution<std::int64_t> Spread(0, CleaningEvery.count());
+base::task<void>
+deleteRecordsPeriodically(std::shared_ptr<instance_state> State) {
+  // The first pause is random, so that instances that were started together do
+  // not delete at the same time.
+  std::uniform_int_distribution<std::int64_t> Spread(
+      0, RecordCleanupInterval.count());
   base::milliseconds Pause(Spread(State->Statements.Random));
   while (State->Life.state() == kernel::life_state::Serving) {
     co_await pause(State->Context.get_executor(), Pause);
-    Pause = CleaningEvery;
-    if (State->Currency != control::currency::Isolated)
+    Pause = RecordCleanupInterval;
+    if (State->Freshness != control::config_freshness::Isolated)
       co_await data::deleteExpiredRecords(State->Statements);
   }
 }
@@ -75,16 +78,17 @@
 }
 
 bool mayStop(const instance_state &State, base::microseconds Waited) {
-  if (Waited < ShortestDrain)
+  if (Waited < MinDrainTime)
     return false;
   const bool Idle = !hasWork(State) && State.Shares.status().Leases == 0;
   return Idle || Waited >= State.Settings.DrainTime;
 }
 
-/// Graceful shutdown: out of the balancer first, then no new work; the running
-/// work gets its time while leases go to the next givers; then all closes.
-/// The peers' socket closes last: requests that wait for tokens, and the
-/// hand-over of the leases, go through it.
+/// Graceful shutdown: announces draining to the balancer and the peers and
+/// accepts no new work; waits for running work while leases of rates move to
+/// the next share allocators; then closes all services. The peers' socket
+/// closes last, since requests that wait for tokens and the hand-over of the
+/// leases need it.
 base::task<void> drain(std::shared_ptr<instance_state> State) {
   const base::instant Begun = base::now();
   State->Statements.Draining = true;
@@ -93,12 +97,12 @@
   State->Shares.drain();
   const auto Executor = State->Context.get_executor();
   while (!mayStop(*State, base::now() - Begun))
-    co_await pause(Executor, HousekeepingEvery);
+    co_await pause(Executor, HousekeepingInterval);
   kernel::drainAll(State->Registry);
   State->Life.process(kernel::life_event::Drained);
 }
 
-void entered(instance_state &State, kernel::life_state Entered) {
+void noteLifeState(instance_state &State, kernel::life_state Entered) {
   const std::string Name(kernel::lifeStateName(Entered));
   base::log(log_level::Info, log_part::Main, "Instance is " + Name + ".");
   recordEvent(State, event_kind::DrainStep, Name);
@@ -126,7 +130,7 @@
       Statements{Context.get_executor()},
       Callers(Context.get_executor(), Statements, Transactions),
       Operators(Context.get_executor(), Secrets.OperatorKey),
-      Life([this](kernel::life_state State) { entered(*this, State); }) {
+      Life([this](kernel::life_state State) { noteLifeState(*this, State); }) {
   Statements.Settings.Instance = Settings.Name;
   Statements.Settings.Zone = Settings.Zone;
   Statements.Settings.FleetKey = Secrets.FleetKey;
@@ -159,8 +163,9 @@
     return base::failure(base::errc::BadSettings, Error.what());
   }
   State->Life.process(kernel::life_event::Ready);
-  asio::co_spawn(State->Context, keepHouse(State), asio::detached);
-  asio::co_spawn(State->Context, cleanRecords(State), asio::detached);
+  asio::co_spawn(State->Context, runHousekeeping(State), asio::detached);
+  asio::co_spawn(State->Context, deleteRecordsPeriodically(State),
+                 asio::detached);
   return {};
 }
 
@@ -169,7 +174,7 @@
     return;
   State->Life.process(kernel::life_event::Stop);
   asio::co_spawn(State->Context, drain(State), [this](std::exception_ptr) {
-    // Timers and sockets of services that have nothing left to tell.
+    // Ends timers and sockets that remain of services without work.
     State->Context.stop();
   });
 }
--- a/packages/redwinggw/src/main.cpp
+++ b/packages/redwinggw/src/main.cpp
@@ -1,5 +1,5 @@
 #include "instance.hpp"
-#include "native_instance.hpp"
+#include "platform_instance.hpp"
 #include "settings.hpp"
 
 #include "redwinggw/base/log.hpp"
@@ -15,8 +15,8 @@
 #include <iostream>
 #include <sstream>
 
-/// The entry instance. Exit codes: 0 stopped gracefully or the check passed,
-/// 1 the settings are not valid, 2 wrong options, 3 an unexpected fault.
+/// The server program. Exit codes: 0 stopped gracefully or the check passed, 1
+/// invalid settings, 2 wrong options, 3 unexpected error.
 namespace redwinggw {
 namespace {
 
@@ -39,7 +39,7 @@
       "config,c", options::value<std::string>(),
       "settings file (INI)")("check", "validate the settings and exit")(
       "set,s", options::value<std::vector<std::string>>()->composing(),
-      "section.key=value, goes before the file; may be repeated");
+      "section.key=value, overrides the file; may be repeated");
   return Description;
 }
 
@@ -112,8 +112,8 @@
   return ExitOk;
 }
 
-/// Reads the settings again; faulty ones change nothing.
-void reload(native_instance &Instance, const command_line &Line) {
+/// Reads the settings again; invalid ones are logged and change nothing.
+void reload(platform_instance &Instance, const command_line &Line) {
   if (auto Settings = readSettings(Line))
     Instance.reload(std::move(*Settings));
   else
@@ -121,8 +121,8 @@
               describe(Settings.error()));
 }
 
-void reloadOnSignal(boost::asio::signal_set &Signals, native_instance &Instance,
-                    const command_line &Line) {
+void reloadOnSignal(boost::asio::signal_set &Signals,
+                    platform_instance &Instance, const command_line &Line) {
   Signals.async_wait([&](boost::system::error_code Error, int) {
     if (Error)
       return;
@@ -131,18 +131,19 @@
   });
 }
 
-/// When the settings file was written last, as far as that can be told.
+/// When the settings file was last written; a default value when that is
+/// unknown.
 std::filesystem::file_time_type settingsTime(const command_line &Line) {
   std::error_code Ignored;
   return std::filesystem::last_write_time(Line.Config, Ignored);
 }
 
 /// The platform may change the file without a signal.
-void reloadOnChange(boost::asio::steady_timer &Timer, native_instance &Instance,
-                    const command_line &Line,
+void reloadOnChange(boost::asio::steady_timer &Timer,
+                    platform_instance &Instance, const command_line &Line,
                     std::filesystem::file_time_type Known) {
-  constexpr std::chrono::seconds LookEvery{2};
-  Timer.expires_after(LookEvery);
+  constexpr std::chrono::seconds CheckInterval{2};
+  Timer.expires_after(CheckInterval);
   Timer.async_wait([&, Known](boost::system::error_code Error) {
     if (Error)
       return;
@@ -153,10 +154,10 @@
   });
 }
 
-int runNative(settings Settings, const command_line &Line) {
+int runPlatformInstance(settings Settings, const command_line &Line) {
   base::startLog(Settings.LogLevel, Settings.LogFormat, Settings.Name);
   boost::asio::io_context Context(1);
-  native_instance Instance(Context, std::move(Settings));
+  platform_instance Instance(Context, std::move(Settings));
   boost::asio::signal_set Stops(Context, SIGTERM, SIGINT);
   Stops.async_wait([&](boost::system::error_code Error, int) {
     if (!Error)
@@ -188,7 +189,7 @@
   if (!Settings)
     return reportFailure(Settings.error());
   if (Settings->Kind == platform_kind::Native && !Line.Check)
-    return runNative(std::move(*Settings), Line);
+    return runPlatformInstance(std::move(*Settings), Line);
   if (Settings->Kind == platform_kind::Native) {
     std::cout << "the settings are valid\n";
     return ExitOk;
@@ -214,7 +215,7 @@
     std::cerr << Error.what() << "; see redwinggw --help\n";
     return ExitUsage;
   } catch (const std::exception &Error) {
-    std::cerr << "unexpected fault: " << Error.what() << "\n";
+    std::cerr << "unexpected error: " << Error.what() << "\n";
     return ExitFault;
   }
 }
--- a/packages/redwinggw/src/operator_pages.cpp
+++ b/packages/redwinggw/src/operator_pages.cpp
@@ -18,7 +18,7 @@
       {"zone", State.Settings.Zone},
       {"state", kernel::lifeStateName(State.Life.state())},
       {"version", State.Configuration.inForce().Version},
-      {"currency", control::currencyName(State.Currency)},
+      {"currency", control::configFreshnessName(State.Freshness)},
       {"callers", http::toText(State.Settings.Callers)},
       {"operators", http::toText(State.Settings.Operators)},
       {"caller_connections", State.Callers.Server.openConnections()},
@@ -49,7 +49,7 @@
   Status["waiting"] = Dispatcher.waiting();
   Status["window"] = Dispatcher.windowSize();
   Status["circuit"] =
-      isClosed(Dispatcher.circuitState(), base::now()) ? "closed" : "open";
+      isClosed(Dispatcher.breaker(), base::now()) ? "closed" : "open";
   return Status;
 }
 
@@ -83,7 +83,7 @@
 
 json::value shareStatus(const instance_state &State) {
   const control::share_status Status = State.Shares.status();
-  return json::object{{"given", Status.Given},
+  return json::object{{"given", Status.Allocated},
                       {"spent", Status.Spent},
                       {"refused", Status.Refused},
                       {"refused_unanswered", Status.RefusedUnanswered},
--- a/packages/redwinggw/src/native_configuration.cpp
+++ b/packages/redwinggw/src/platform_configuration.cpp
@@ -1,4 +1,4 @@
-#include "native_state.hpp"
+#include "platform_instance_state.hpp"
 
 #include "platform/decoding.hpp"
 
@@ -8,7 +8,7 @@
 #include <iterator>
 
 /// The operators' configuration: read from the platform's store, or from
-/// another instance where the store does not give the newest one.
+/// another instance when the store does not return the newest one.
 namespace redwinggw {
 namespace {
 
@@ -16,22 +16,22 @@
 using base::log_part;
 using base::milliseconds;
 
-/// The configuration is read so often by the one that reads for all. A change
-/// must be in force within three seconds: this pause, a call that hangs, its
-/// repetition and a heartbeat fit in. The store's feed of changes would tell
-/// sooner, but it goes silent when the store drops its history, and then hands
-/// on a version whose changes it never told.
-constexpr milliseconds ConfigurationEvery{800};
-constexpr milliseconds ConfigurationSilence{700};
+/// How often the store reader reads the configuration. A change must be in
+/// force within three seconds, which hold this interval, a request that hangs,
+/// its repetition and a heartbeat. The store's change feed would be faster, but
+/// it stops without an error when the store drops its history, and afterwards
+/// reports a version whose changes it never delivered.
+constexpr milliseconds ConfigurationReadInterval{800};
+constexpr milliseconds ConfigurationIdleTimeout{700};
 
-/// For how long a newer configuration than the one in force has been known of.
-std::string millisecondsBehind(const native_state &State) {
+/// How long this instance has known of a newer configuration than its own.
+std::string millisecondsBehind(const platform_instance_state &State) {
   const base::instant Since = State.BehindSince.value_or(base::now());
   return std::to_string(
       std::chrono::floor<milliseconds>(base::now() - Since).count());
 }
 
-void noteInForce(native_state &State, std::string_view From) {
+void noteInForce(platform_instance_state &State, std::string_view From) {
   base::logEvent(log_level::Info, log_part::Configuration,
                  "configuration_in_force",
                  {{"version", std::to_string(State.Routes->Version)},
@@ -42,7 +42,7 @@
                   {"behind_ms", millisecondsBehind(State)}});
 }
 
-void noteUnreadConfiguration(native_state &State, base::instant Sent,
+void noteUnreadConfiguration(platform_instance_state &State, base::instant Sent,
                              const base::failure &Reason) {
   counterOf(State.Core.Metrics, base::metric::StoreErrorsTotal,
             {"configuration"})
@@ -57,10 +57,11 @@
                   {"reason", describe(Reason)}});
 }
 
-/// Puts a configuration in force unless it is older than the one that is.
-/// \p From is the store or an instance, for the log.
-void takeConfiguration(native_state &State, session::stored_configuration Given,
-                       std::string_view From) {
+/// Puts a configuration in force unless it is older than the present one. \p
+/// From names its source for the log: "store" or an instance.
+void acceptConfiguration(platform_instance_state &State,
+                         session::stored_configuration Given,
+                         std::string_view From) {
   if (Given.Row <= State.Stored.Row || !Given.Text)
     return;
   auto Table = platform::readConfiguration(*Given.Text);
@@ -88,25 +89,25 @@
 }
 
 /// Reads the configuration from the store; false when it did not answer.
-base::task<bool> readConfiguration(native_state &State) {
+base::task<bool> readConfiguration(platform_instance_state &State) {
   const base::instant Sent = base::now();
   const auto Rows = co_await platform::readTable(
-      State.Reader, platform::OperatorTable, ConfigurationSilence);
+      State.StoreReader, platform::OperatorTable, ConfigurationIdleTimeout);
   ++State.Store.Reads;
-  noteStore(State, Rows.has_value(), Rows ? "" : describe(Rows.error()));
+  noteStoreResult(State, Rows.has_value(), Rows ? "" : describe(Rows.error()));
   if (!Rows) {
     noteUnreadConfiguration(State, Sent, Rows.error());
     co_return false;
   }
   if (State.Peers)
     State.Peers->noteStoreContact();
-  takeConfiguration(State, storedConfiguration(*Rows), "store");
+  acceptConfiguration(State, storedConfiguration(*Rows), "store");
   co_return true;
 }
 
-/// An instance that has a newer configuration, chosen by chance among those of
-/// the own availability zone where there are any; null when there is none.
-const control::member *configurationHolder(native_state &State) {
+/// A random instance that has a newer configuration, from this availability
+/// zone if possible; null when there is none.
+const control::member *configurationHolder(platform_instance_state &State) {
   if (!State.Peers)
     return nullptr;
   std::vector<const control::member *> Holders;
@@ -124,20 +125,20 @@
   return Chosen;
 }
 
-/// Asks another instance for what the store did not give: it may turn this
-/// instance away, or answer from the past.
-base::task<void> askOthers(native_state &State) {
+/// Fetches the configuration from another instance: the store may reject this
+/// instance's requests or return stale data.
+base::task<void> fetchFromPeer(platform_instance_state &State) {
   const control::member *Holder = configurationHolder(State);
-  if (Holder == nullptr || !State.RelayLinks)
+  if (Holder == nullptr || !State.ForwardingClient)
     co_return;
-  const session::relay_owner From{Holder->Name, Holder->Address};
-  auto Told =
-      co_await State.RelayLinks->askConfiguration(From, State.Stored.Row);
-  takeConfiguration(State, std::move(Told), From.Name);
+  const session::connection_owner From{Holder->Name, Holder->Address};
+  auto Fetched = co_await State.ForwardingClient->fetchConfiguration(
+      From, State.Stored.Row);
+  acceptConfiguration(State, std::move(Fetched), From.Name);
 }
 
-/// Whether another instance has a newer configuration; notes since when.
-bool isBehind(native_state &State) {
+/// Whether another instance has a newer configuration; records since when.
+bool isBehind(platform_instance_state &State) {
   const bool Behind = newestConfigurationRow(State) > State.Stored.Row;
   if (!Behind)
     State.BehindSince.reset();
@@ -148,18 +149,19 @@
 
 } // namespace
 
-base::task<void> followConfiguration(native_ptr State) {
+base::task<void> followConfiguration(platform_instance_ptr State) {
   while (!State->Stopped) {
-    // Where another instance reads, its heartbeats tell of changes.
-    if (State->Routes && hasReader(*State) && !isBehind(*State)) {
-      co_await pauseAbout(*State, NewsEvery);
+    // When another instance reads the store, its heartbeats report changes.
+    if (State->Routes && hasStoreReader(*State) && !isBehind(*State)) {
+      co_await pauseWithJitter(*State, UpdateCheckInterval);
       continue;
     }
     const std::uint64_t Before = State->Stored.Row;
     const bool Answered = co_await readConfiguration(*State);
     if (State->Stored.Row == Before && isBehind(*State))
-      co_await askOthers(*State);
-    co_await pauseAbout(*State, Answered ? ConfigurationEvery : RetryAfter);
+      co_await fetchFromPeer(*State);
+    co_await pauseWithJitter(*State,
+                             Answered ? ConfigurationReadInterval : RetryDelay);
   }
 }
 
--- a/packages/redwinggw/src/native_relay.cpp
+++ b/packages/redwinggw/src/platform_endpoint_owners.cpp
@@ -1,27 +1,27 @@
-#include "native_state.hpp"
+#include "platform_instance_state.hpp"
 
 #include "redwinggw/base/log.hpp"
 #include "redwinggw/session/endpoint_owner.hpp"
 
 #include <algorithm>
 
-/// Which instance holds the connections to an endpoint, and how many each may
-/// hold.
+/// Which instance owns the connections to each endpoint, and how many each
+/// instance may hold.
 namespace redwinggw {
 namespace {
 
 using base::instant;
 
-/// Part of an endpoint's connections that its owner may open at any time. The
-/// rest is for instances that cannot use the owner, and for probes.
+/// Percentage of an endpoint's connections that its owner may open at any time.
+/// The rest is for instances that cannot reach the owner, and for probes.
 constexpr std::size_t OwnedPercent = 85;
-/// Part that it keeps open without need. An endpoint counts the connections of
-/// an instance without power for three more seconds: with less than half of
-/// them kept, the next owner finds as many as it needs.
+/// Percentage that the owner keeps open when idle. An endpoint counts the
+/// connections of an instance that lost power for three more seconds: with less
+/// than half of them open, the next owner can still open as many as it needs.
 constexpr std::size_t KeptPercent = 45;
 
-std::vector<session::owner_candidate> ownerCandidates(const native_state &State,
-                                                      instant Now) {
+std::vector<session::owner_candidate>
+ownerCandidates(const platform_instance_state &State, instant Now) {
   std::vector<session::owner_candidate> Candidates;
   if (State.Peers)
     Candidates = session::ownersAmong(State.Peers->view(), Now);
@@ -30,12 +30,12 @@
   return Candidates;
 }
 
-bool isOwn(const native_state &State, std::string_view Endpoint) {
+bool isOwn(const platform_instance_state &State, std::string_view Endpoint) {
   const auto Owner = State.Owners.find(Endpoint);
   return Owner == State.Owners.end() || Owner->second == State.Settings.Name;
 }
 
-session::pool_limits limitsFor(const native_state &State,
+session::pool_limits limitsFor(const platform_instance_state &State,
                                const session::endpoint_entry &Entry,
                                std::size_t Accepted) {
   session::pool_limits Limits;
@@ -43,19 +43,20 @@
       State.Peers ? instanceCount(State.Peers->view()) : 1;
   if (isOwn(State, Entry.Name)) {
     constexpr std::size_t Whole = 100;
-    constexpr std::size_t Least = 1;
-    Limits.Connections = std::max(Least, Accepted * OwnedPercent / Whole);
-    Limits.KeptConnections = std::max(Least, Accepted * KeptPercent / Whole);
-    Limits.MostConnections = std::max(Limits.Connections, Accepted);
+    constexpr std::size_t Min = 1;
+    Limits.Connections = std::max(Min, Accepted * OwnedPercent / Whole);
+    Limits.KeptConnections = std::max(Min, Accepted * KeptPercent / Whole);
+    Limits.MaxConnections = std::max(Limits.Connections, Accepted);
     return Limits;
   }
-  // Few: only what the owner cannot serve goes over them.
+  // Few, since only statements that the owner cannot run use them.
   Limits.Connections = 1;
-  Limits.MostConnections = std::max<std::size_t>(1, 2 * Accepted / Instances);
+  Limits.MaxConnections = std::max<std::size_t>(1, 2 * Accepted / Instances);
   return Limits;
 }
 
-void noteOwner(native_state &State, const base::endpoint_name &Endpoint,
+void noteOwner(platform_instance_state &State,
+               const base::endpoint_name &Endpoint,
                const session::owner_candidate *Owner) {
   const base::instance_name Name = Owner == nullptr ? "" : Owner->Name;
   auto &Known = State.Owners[Endpoint];
@@ -67,9 +68,10 @@
   Known = Name;
 }
 
-/// Each instance works this out alone from who it hears; anew only after a
-/// change, since it takes a draw for each endpoint and instance.
-void assignOwners(native_state &State) {
+/// Each instance computes the owners on its own, from the instances that it is
+/// in contact with. Recomputed only after a change, since it takes a hash for
+/// each endpoint and instance.
+void assignOwners(platform_instance_state &State) {
   const instant Now = base::now();
   auto Candidates = ownerCandidates(State, Now);
   const bool Changed = Candidates != State.OwnerCandidates;
@@ -80,30 +82,34 @@
   std::erase_if(State.Owners, [&](const auto &Item) {
     return !State.Endpoints.Pools.contains(Item.first);
   });
-  if (!State.Peers || !State.RelayLinks)
+  if (!State.Peers || !State.ForwardingClient)
     return;
   for (const control::member &Member : State.Peers->view().Members)
     if (!session::mayOwn(State.Peers->view(), Member, Now))
-      State.RelayLinks->closeIdle(Member.Name);
+      State.ForwardingClient->closeIdle(Member.Name);
 }
 
 } // namespace
 
-void startRelays(native_state &State, const std::string &Secret) {
+void startForwarding(platform_instance_state &State,
+                     const std::string &Secret) {
   const auto Executor = State.Context.get_executor();
-  State.RelayLinks = std::make_unique<session::relay_links>(
+  State.ForwardingClient = std::make_unique<session::forwarding_client>(
       Executor, State.Endpoints.Watch, Secret);
-  State.RelayServer =
-      std::make_unique<session::relay_server>(Executor, State.Core, Secret);
-  State.RelayServer->handOnConfiguration([&State] { return State.Stored; });
-  // The others go to the endpoints themselves when it does not listen.
-  if (const auto Listening = State.RelayServer->listen(State.Settings.Peers);
+  State.ForwardingServer = std::make_unique<session::forwarding_server>(
+      Executor, State.Core, Secret);
+  State.ForwardingServer->serveConfigurationFrom(
+      [&State] { return State.Stored; });
+  // When listening fails, the other instances connect to the endpoints
+  // themselves.
+  if (const auto Listening =
+          State.ForwardingServer->listen(State.Settings.Peers);
       !Listening)
     base::log(base::log_level::Error, base::log_part::Peers,
               describe(Listening.error()));
 }
 
-void divideConnections(native_state &State) {
+void divideConnections(platform_instance_state &State) {
   if (!State.Routes)
     return;
   assignOwners(State);
@@ -117,20 +123,21 @@
   }
 }
 
-std::unique_ptr<session::relay_link>
-relayTo(native_state &State, const session::endpoint_entry &Entry,
-        std::string_view Customer, unsigned Priority) {
-  if (isOwn(State, Entry.Name) || !State.RelayLinks || !State.Peers)
+std::unique_ptr<session::forwarding_link>
+forwardingLinkTo(platform_instance_state &State,
+                 const session::endpoint_entry &Entry,
+                 std::string_view Customer, unsigned Priority) {
+  if (isOwn(State, Entry.Name) || !State.ForwardingClient || !State.Peers)
     return nullptr;
   const instant Now = base::now();
   const base::instance_name &Owner = State.Owners.find(Entry.Name)->second;
   const control::member *Member = findMember(State.Peers->view(), Owner);
   if (Member == nullptr ||
       !session::mayOwn(State.Peers->view(), *Member, Now) ||
-      !State.RelayLinks->isUsable(Owner, Now))
+      !State.ForwardingClient->isUsable(Owner, Now))
     return nullptr;
-  return State.RelayLinks->to({Owner, Member->Address}, Entry.Name,
-                              std::string(Customer), Priority);
+  return State.ForwardingClient->linkTo({Owner, Member->Address}, Entry.Name,
+                                        std::string(Customer), Priority);
 }
 
 } // namespace redwinggw
--- /dev/null
+++ b/packages/redwinggw/src/platform_endpoints.cpp
@@ -0,0 +1,132 @@
+#include "platform_instance_state.hpp"
+
+#include "platform/decoding.hpp"
+
+#include "redwinggw/base/log.hpp"
+
+/// The endpoint list: the store reader reads it from the platform's store and
+/// sends it to the other instances.
+namespace redwinggw {
+namespace {
+
+using base::log_level;
+using base::log_part;
+using base::milliseconds;
+
+/// Each table is read once a second: a leaving endpoint must be out of use
+/// within seven seconds, and a new one should be in use at about the time at
+/// which the old one leaves.
+constexpr milliseconds EndpointReadInterval{1000};
+/// How long a list from the store reader is used before this instance reads the
+/// store itself.
+constexpr milliseconds SharedListValidFor{1700};
+/// How often an unchanged list is sent in full. An instance that lost the
+/// datagram with a change reads the store itself long before that.
+constexpr milliseconds FullListInterval{5000};
+
+std::vector<session::endpoint_entry>
+entriesOf(const platform::table_rows &Rows) {
+  std::vector<session::endpoint_entry> Entries;
+  for (const platform::table_row &Row : Rows.Rows)
+    if (auto Entry = platform::readEntry(Row.Key, Row.Value))
+      Entries.push_back(std::move(*Entry));
+  return Entries;
+}
+
+std::string digestText(const std::vector<session::endpoint_entry> &List) {
+  return std::to_string(digestOf(List));
+}
+
+/// Sends the list to the instances that do not read it themselves: in full
+/// after a change and every FullListInterval, otherwise a digest that tells
+/// that it is unchanged. An instance with another list ignores the digest, and
+/// reads the store itself when nothing else arrives.
+void shareEndpointList(platform_instance_state &State,
+                       const platform::table_rows &Rows) {
+  const base::instant Now = base::now();
+  const bool Unchanged = State.SentEndpointList == State.EndpointList &&
+                         State.SentEndpointListAt &&
+                         Now - *State.SentEndpointListAt < FullListInterval;
+  if (Unchanged) {
+    State.Peers->sendSharedRead({wire::shared_read_kind::EndpointsUnchanged,
+                                 false, digestText(State.EndpointList)});
+    return;
+  }
+  const std::string Text = platform::encodeRows(Rows);
+  if (Text.size() > MaxSharedReadBytes) {
+    base::logEvent(log_level::Warning, log_part::Endpoints, "list_not_relayed",
+                   {{"bytes", std::to_string(Text.size())},
+                    {"limit", std::to_string(MaxSharedReadBytes)}});
+    return;
+  }
+  State.Peers->sendSharedRead({wire::shared_read_kind::Endpoints, false, Text});
+  State.SentEndpointList = State.EndpointList;
+  State.SentEndpointListAt = Now;
+}
+
+void acceptEndpointList(platform_instance_state &State,
+                        const std::vector<session::endpoint_entry> &Entries,
+                        base::instant ReadAt) {
+  const auto Changes = updateEndpoints(State.Endpoints, Entries, base::now());
+  State.EndpointList = Entries;
+  State.EndpointListAt = ReadAt;
+  for (const base::endpoint_name &Name : Changes.Started)
+    base::log(log_level::Info, log_part::Endpoints,
+              "Endpoint " + Name + " was added to the list.");
+  for (const base::endpoint_name &Name : Changes.Gone)
+    base::log(log_level::Info, log_part::Endpoints,
+              "Endpoint " + Name + " was removed from the list.");
+  divideConnections(State);
+}
+
+} // namespace
+
+void acceptSharedRead(platform_instance_state &State,
+                      const wire::shared_store_read &Reading) {
+  if (Reading.Kind == wire::shared_read_kind::EndpointsUnchanged) {
+    if (State.EndpointListAt && Reading.Text == digestText(State.EndpointList))
+      acceptEndpointList(State, std::vector(State.EndpointList), base::now());
+    return;
+  }
+  if (const auto Rows = platform::decodeRows(Reading.Text))
+    acceptEndpointList(State, entriesOf(*Rows), base::now());
+}
+
+namespace {
+
+void acceptOwnRead(platform_instance_state &State,
+                   const platform::table_rows &Rows, base::instant Sent) {
+  // A slow read must not undo a newer list that arrived meanwhile.
+  if (State.EndpointListAt.value_or(LongAgo) > Sent)
+    return;
+  acceptEndpointList(State, entriesOf(Rows), Sent);
+  if (isStoreReader(State) && State.Peers)
+    shareEndpointList(State, Rows);
+}
+
+} // namespace
+
+base::task<void> followEndpoints(platform_instance_ptr State) {
+  while (!State->Stopped) {
+    const bool Recent = base::now() - State->EndpointListAt.value_or(LongAgo) <
+                        SharedListValidFor;
+    if (Recent && hasStoreReader(*State)) {
+      co_await pauseWithJitter(*State, UpdateCheckInterval);
+      continue;
+    }
+    const base::instant Sent = base::now();
+    const auto Rows = co_await platform::readTable(
+        State->StoreReader, platform::EndpointTable, ReadIdleTimeout);
+    ++State->Store.Reads;
+    noteStoreResult(*State, Rows.has_value(),
+                    Rows ? "" : describe(Rows.error()));
+    if (Rows) {
+      if (State->Peers)
+        State->Peers->noteStoreContact();
+      acceptOwnRead(*State, *Rows, Sent);
+    }
+    co_await pauseWithJitter(*State, Rows ? EndpointReadInterval : RetryDelay);
+  }
+}
+
+} // namespace redwinggw
--- a/packages/redwinggw/src/native_following.cpp
+++ b/packages/redwinggw/src/platform_fleet.cpp
@@ -1,4 +1,4 @@
-#include "native_state.hpp"
+#include "platform_instance_state.hpp"
 
 #include "redwinggw/base/log.hpp"
 #include "redwinggw/control/relays.hpp"
@@ -9,7 +9,8 @@
 
 #include <algorithm>
 
-/// The other instances and their agreements, as the platform's store has them.
+/// Registration of this instance, and the rows of the fleet in the platform's
+/// store: instances and claims of primaries.
 namespace redwinggw {
 namespace {
 
@@ -26,13 +27,13 @@
   return std::string(InstancePrefix).append(Name);
 }
 
-std::string instanceText(const native_state &State) {
+std::string instanceText(const platform_instance_state &State) {
   return json::serialize(json::object{{"zone", State.Settings.Zone},
                                       {"peers", toText(State.Settings.Peers)},
                                       {"capacity", State.Settings.Capacity}});
 }
 
-/// Nothing for a row that is not an instance's.
+/// Nothing when the row is not an instance's or cannot be parsed.
 std::optional<storage::listed_instance>
 instanceOf(const platform::table_row &Row) {
   if (!Row.Key.starts_with(InstancePrefix))
@@ -62,9 +63,10 @@
   return Found->Value;
 }
 
-/// Makes the fleet's secret. Nothing when another instance was first or the
-/// store did not answer: the row tells whose secret it is.
-base::task<std::optional<std::string>> makeSecret(native_state &State) {
+/// Creates the fleet's secret. Nothing when another instance was first, whose
+/// secret is in the row then, or when the store did not answer.
+base::task<std::optional<std::string>>
+makeSecret(platform_instance_state &State) {
   std::string Secret = base::randomId();
   storage::commit_request Request;
   Request.Checks.push_back({std::string(SecretKey), 0});
@@ -75,7 +77,7 @@
   co_return Secret;
 }
 
-base::task<bool> registerInstance(native_state &State) {
+base::task<bool> registerInstance(platform_instance_state &State) {
   storage::commit_request Request;
   Request.Puts.push_back(
       {instanceKey(State.Settings.Name), instanceText(State)});
@@ -83,98 +85,102 @@
       .has_value();
 }
 
-void startPeers(native_state &State, const std::string &Secret) {
+void startPeers(platform_instance_state &State, const std::string &Secret) {
   const control::peer_identity Identity{
       State.Settings.Name, State.Settings.Zone,
       static_cast<std::uint64_t>(base::wallMilliseconds()),
       State.Settings.Capacity};
-  // An instance that has heard nothing for so long must not use a primary any
-  // more; see handover_limits::ReadingCounts.
-  control::currency_limits Currency;
-  Currency.Bound = milliseconds(1000);
+  // Without any contact for this long an instance must not use a primary any
+  // more; see handover_limits::ReadingValidFor.
+  control::config_freshness_limits Freshness;
+  Freshness.MaxAge = milliseconds(1000);
   control::membership_limits Members;
-  Members.AcceptStrangers = true;
+  Members.AcceptUnlisted = true;
   State.Peers = std::make_unique<control::peer_service>(
       State.Context.get_executor(), Identity, State.Settings.Peers, Secret,
-      State.Store, Members, Currency);
+      State.Store, Members, Freshness);
   connectPeers(State);
-  connectLending(State);
-  startRelays(State, Secret);
+  connectTokenTransfers(State);
+  startForwarding(State, Secret);
   if (const auto Started = State.Peers->start(); !Started)
     base::log(log_level::Error, log_part::Peers, describe(Started.error()));
 }
 
-/// Takes in the system's own rows. True when this instance's row is among
-/// them.
-bool takeFleet(native_state &State, const platform::table_rows &Rows) {
+/// Applies the rows of the fleet. True when this instance's row is among them.
+bool acceptFleetRows(platform_instance_state &State,
+                     const platform::table_rows &Rows) {
   std::vector<storage::listed_instance> Listed;
-  State.InstanceRows.clear();
+  State.InstanceRowVersions.clear();
   for (const platform::table_row &Row : Rows.Rows) {
     if (auto Instance = instanceOf(Row)) {
-      State.InstanceRows.emplace(Instance->Name, Row.Version);
+      State.InstanceRowVersions.emplace(Instance->Name, Row.Version);
       Listed.push_back(std::move(*Instance));
     }
     if (!Row.Key.starts_with(session::ClaimPrefix))
       continue;
     if (const auto Claim = session::readClaim(Row.Key, Row.Version, Row.Value))
-      takeClaim(State, *Claim);
+      acceptClaim(State, *Claim);
   }
   State.Peers->setList(Listed);
   return std::ranges::find(Listed, State.Settings.Name,
                            &storage::listed_instance::Name) != Listed.end();
 }
 
-/// How long a reading that news asks for waits after the last one: all
-/// instances hear of a new one at about the same time, and where many start at
-/// once each would read for each.
-milliseconds wantedReadInterval(const native_state &State) {
+/// Least interval between two reads when a heartbeat reported a change. All
+/// instances learn of a new one at about the same time; without the interval,
+/// when many start together, each would read once for each other one.
+milliseconds requestedReadInterval(const platform_instance_state &State) {
   constexpr milliseconds ForEachMember{5};
-  constexpr milliseconds Longest{1500};
+  constexpr milliseconds MaxInterval{1500};
   const std::size_t Members = State.Peers->view().Members.size();
   const auto Spread = static_cast<std::int64_t>(Members) * ForEachMember;
-  return usesRelays(State.Peers->view()) ? std::min(Longest, Spread)
+  return usesRelays(State.Peers->view()) ? std::min(MaxInterval, Spread)
                                          : milliseconds(0);
 }
 
-bool hearsSomebody(const native_state &State) {
+bool hasDirectContact(const platform_instance_state &State) {
   const auto &View = State.Peers->view();
   return std::ranges::any_of(View.Members, [&](const control::member &Member) {
-    return isHeardDirectly(View, Member, base::now());
+    return isInDirectContact(View, Member, base::now());
   });
 }
 
-/// How often the system's own rows are read: rarely while a majority of the
-/// others is heard, whose heartbeats tell all that is in the rows. Without
-/// them the rows are the only way to learn of a promotion.
-milliseconds fleetReadInterval(const native_state &State) {
-  // Reads of all instances together stay at five a second.
+/// How often the rows of the fleet are read: rarely while in contact with a
+/// majority, whose heartbeats report all that is in the rows. Without a
+/// majority the rows are the only way to learn of a promotion.
+milliseconds fleetReadInterval(const platform_instance_state &State) {
+  // Limits the reads of all instances together to about five a second.
   constexpr std::size_t FewInstances = 16;
   const std::size_t Members = State.Peers->view().Members.size();
   const auto Share = static_cast<std::int64_t>(1 + Members / FewInstances);
-  const milliseconds Heard = Share * milliseconds(3000);
-  constexpr milliseconds Unheard{400};
-  if (State.Peers->hearsMajority(base::now()))
-    return Heard;
-  // A relay tells of the readings of others.
-  const bool Relayed = usesRelays(State.Peers->view()) && hearsSomebody(State);
-  return Relayed ? std::max(Unheard, wantedReadInterval(State)) : Unheard;
+  const milliseconds ContactInterval = Share * milliseconds(3000);
+  constexpr milliseconds NoContactInterval{400};
+  if (State.Peers->inContactWithMajority(base::now()))
+    return ContactInterval;
+  // A relay reports what other instances have read.
+  const bool Relayed =
+      usesRelays(State.Peers->view()) && hasDirectContact(State);
+  return Relayed ? std::max(NoContactInterval, requestedReadInterval(State))
+                 : NoContactInterval;
 }
 
-/// Removes rows of instances that were not heard for long: nothing in the
-/// store expires, and they would count for majorities and shares for good.
-base::task<void> removeDeadInstances(native_state &State) {
-  constexpr milliseconds GoneAfter{8000};
-  // Two entries of a call for each; the store takes a hundred.
-  constexpr std::size_t MostAtOnce = 40;
-  if (!isReader(State) || !State.Peers->hearsMajority(base::now()))
+/// Removes the rows of instances without heartbeats for RemoveAfter: rows do
+/// not expire in the store, and dead instances would count for majorities and
+/// shares forever.
+base::task<void> removeDeadInstances(platform_instance_state &State) {
+  constexpr milliseconds RemoveAfter{8000};
+  // Each instance needs two entries of a request, which may have a hundred.
+  constexpr std::size_t MaxRemovals = 40;
+  if (!isStoreReader(State) || !State.Peers->inContactWithMajority(base::now()))
     co_return;
   const base::instant Now = base::now();
   storage::commit_request Request;
   for (const control::member &Member : State.Peers->view().Members) {
-    const auto Row = State.InstanceRows.find(Member.Name);
-    const bool Gone = Now - Member.ArrivedAt.value_or(Member.Since) > GoneAfter;
-    if (!Gone || Row == State.InstanceRows.end() ||
-        Request.Deletes.size() == MostAtOnce)
+    const auto Row = State.InstanceRowVersions.find(Member.Name);
+    const bool Gone =
+        Now - Member.ArrivedAt.value_or(Member.ListedSince) > RemoveAfter;
+    if (!Gone || Row == State.InstanceRowVersions.end() ||
+        Request.Deletes.size() == MaxRemovals)
       continue;
     Request.Checks.push_back({instanceKey(Member.Name), Row->second});
     Request.Deletes.push_back(instanceKey(Member.Name));
@@ -182,16 +188,17 @@
   if (Request.Deletes.empty())
     co_return;
   base::log(log_level::Info, log_part::Peers,
-            "Removing " + std::to_string(Request.Deletes.size()) +
-                " instances that are gone.");
+            "Removing the rows of " + std::to_string(Request.Deletes.size()) +
+                " dead instances.");
   const auto Removed = co_await storage::commit(State.Store, Request);
   if (Removed)
-    State.FleetReadWanted = true;
+    State.FleetReadRequested = true;
 }
 
 } // namespace
 
-base::task<void> pauseAbout(native_state &State, milliseconds Time) {
+base::task<void> pauseWithJitter(platform_instance_state &State,
+                                 milliseconds Time) {
   constexpr int Spread = 10;
   std::uniform_int_distribution<std::int64_t> Offset(-Time.count() / Spread,
                                                      Time.count() / Spread);
@@ -200,8 +207,8 @@
   co_await Timer.async_wait(asio::as_tuple(asio::use_awaitable));
 }
 
-base::task<void> removeInstance(native_state &State) {
-  // From here on a reading of the fleet must not register it again.
+base::task<void> removeInstance(platform_instance_state &State) {
+  // Keeps a read of the rows from registering the instance again.
   State.Stopped = true;
   storage::commit_request Request;
   Request.Deletes.push_back(instanceKey(State.Settings.Name));
@@ -209,41 +216,43 @@
       co_await storage::commit(State.Store, std::move(Request));
   if (!Removed)
     base::log(log_level::Warning, log_part::Peers,
-              "The own row stays for others to remove: " +
+              "This instance's row was not removed; others will remove it: " +
                   describe(Removed.error()));
 }
 
 namespace {
 
-base::task<std::optional<platform::table_rows>> readRows(native_state &State) {
-  State.FleetReadWanted = false;
-  auto Rows = co_await platform::readTable(State.Reader, platform::OwnTable,
-                                           ReadSilence);
+base::task<std::optional<platform::table_rows>>
+readRows(platform_instance_state &State) {
+  State.FleetReadRequested = false;
+  auto Rows = co_await platform::readTable(State.StoreReader,
+                                           platform::OwnTable, ReadIdleTimeout);
   ++State.Store.Reads;
-  noteStore(State, Rows.has_value(), Rows ? "" : describe(Rows.error()));
+  noteStoreResult(State, Rows.has_value(), Rows ? "" : describe(Rows.error()));
   if (!Rows)
     co_return std::nullopt;
   co_return std::move(*Rows);
 }
 
-/// Takes in rows that were asked for at \p Sent. True when this instance's row
+/// Applies rows that were requested at \p Sent. True when this instance's row
 /// is among them.
-bool noteRows(native_state &State, const platform::table_rows &Rows,
-              base::instant Sent) {
-  const bool Listed = takeFleet(State, Rows);
+bool noteFleetRows(platform_instance_state &State,
+                   const platform::table_rows &Rows, base::instant Sent) {
+  const bool Listed = acceptFleetRows(State, Rows);
   State.Peers->noteStoreRead(Sent, base::now(), State.Claims.Version);
   State.FleetReadAt = Sent;
   return Listed;
 }
 
-/// Whether this instance's row is as it has to be. A process that starts again
-/// finds it so and writes nothing: the store takes writes one after the other,
-/// and where all start at once they would wait for each other.
-bool isRegistered(const native_state &State, const platform::table_rows &Rows) {
+/// Whether this instance's row is up to date. A restarted process finds it so
+/// and writes nothing: the store serializes writes, and instances that start
+/// together would wait for each other.
+bool isRegistered(const platform_instance_state &State,
+                  const platform::table_rows &Rows) {
   return valueAt(Rows, instanceKey(State.Settings.Name)) == instanceText(State);
 }
 
-base::task<bool> tryToJoin(native_state &State) {
+base::task<bool> tryToJoin(platform_instance_state &State) {
   const base::instant Sent = base::now();
   const auto Rows = co_await readRows(State);
   if (!Rows)
@@ -259,46 +268,48 @@
   if (!Registered)
     co_return false;
   startPeers(State, *Secret);
-  noteRows(State, *Rows, Sent);
+  noteFleetRows(State, *Rows, Sent);
   co_return true;
 }
 
-/// Waits until the rows are due to be read again. News of a change or of a new
-/// instance makes them due sooner.
-base::task<void> pauseBetweenReads(native_state &State, bool Answered) {
+/// Waits until the rows are due to be read again, sooner when a heartbeat
+/// reported a change or an unlisted instance.
+base::task<void> pauseBetweenReads(platform_instance_state &State,
+                                   bool Answered) {
   const base::instant Since = base::now();
-  const milliseconds Pause = Answered ? fleetReadInterval(State) : RetryAfter;
-  const milliseconds Wanted = wantedReadInterval(State);
+  const milliseconds Pause = Answered ? fleetReadInterval(State) : RetryDelay;
+  const milliseconds Wanted = requestedReadInterval(State);
   while (!State.Stopped && base::now() - Since < Pause &&
-         (!State.FleetReadWanted || base::now() - Since < Wanted))
-    co_await pauseAbout(State, NewsEvery);
+         (!State.FleetReadRequested || base::now() - Since < Wanted))
+    co_await pauseWithJitter(State, UpdateCheckInterval);
 }
 
 } // namespace
 
-base::task<void> joinFleet(native_ptr State) {
+base::task<void> joinFleet(platform_instance_ptr State) {
   bool Joined = false;
   while (!Joined && !State->Stopped) {
     Joined = co_await tryToJoin(*State);
     if (!Joined)
-      co_await pauseAbout(*State, RetryAfter);
+      co_await pauseWithJitter(*State, RetryDelay);
   }
   base::log(log_level::Info, log_part::Peers, "Joined the fleet.");
   co_await followFleet(State);
 }
 
-base::task<std::optional<platform::table_rows>> readFleet(native_state &State) {
+base::task<std::optional<platform::table_rows>>
+readFleet(platform_instance_state &State) {
   const base::instant Sent = base::now();
   auto Rows = co_await readRows(State);
   if (!Rows)
     co_return std::nullopt;
-  const bool Listed = noteRows(State, *Rows, Sent);
+  const bool Listed = noteFleetRows(State, *Rows, Sent);
   if (!Listed && !State.Stopped)
     co_await registerInstance(State);
   co_return std::move(Rows);
 }
 
-base::task<void> followFleet(native_ptr State) {
+base::task<void> followFleet(platform_instance_ptr State) {
   bool Answered = true;
   while (!State->Stopped) {
     co_await pauseBetweenReads(*State, Answered);
--- a/packages/redwinggw/src/native_handover.cpp
+++ b/packages/redwinggw/src/platform_handover.cpp
@@ -1,4 +1,4 @@
-#include "native_state.hpp"
+#include "platform_instance_state.hpp"
 
 #include "platform/promoter.hpp"
 
@@ -9,7 +9,8 @@
 
 #include <algorithm>
 
-/// Moves primaries: docs/PLATFORM-ADAPTER.md gives the steps and their reasons.
+/// Replaces primaries that failed or leave; docs/PLATFORM-ADAPTER.md gives the
+/// steps and their reasons.
 namespace redwinggw {
 namespace {
 
@@ -19,28 +20,28 @@
 using session::move_cause;
 using session::primary_claim;
 
-constexpr milliseconds GuardEvery{100};
-constexpr milliseconds StatusTime{400};
-constexpr milliseconds OrderTime{1500};
-/// How long a move goes on before it is begun again from the rows.
-constexpr milliseconds MoveTime{7000};
+constexpr milliseconds PrimaryCheckInterval{100};
+constexpr milliseconds StatusTimeout{400};
+constexpr milliseconds PromotionTimeout{1500};
+/// A move that takes longer is abandoned and begun again from the rows.
+constexpr milliseconds MoveTimeout{7000};
 constexpr milliseconds StepPause{20};
 
-void say(const std::string &Service, const std::string &Text) {
+void logMove(const std::string &Service, const std::string &Text) {
   base::log(base::log_level::Info, base::log_part::Failover,
             "Service " + Service + ": " + Text);
 }
 
-std::optional<instant> missingSince(native_state &State,
+std::optional<instant> missingSince(platform_instance_state &State,
                                     const base::endpoint_name &Name) {
   if (findEndpoint(State.Endpoints.Directory, Name) != nullptr) {
-    State.Missing.erase(Name);
+    State.MissingPrimaries.erase(Name);
     return std::nullopt;
   }
-  return State.Missing.try_emplace(Name, base::now()).first->second;
+  return State.MissingPrimaries.try_emplace(Name, base::now()).first->second;
 }
 
-session::handover_view viewOf(native_state &State,
+session::handover_view viewOf(platform_instance_state &State,
                               const base::service_name &Service) {
   session::handover_view View;
   View.Claim = findClaim(State.Claims, Service);
@@ -49,23 +50,24 @@
   if (!View.Primary.empty())
     View.MissingSince = missingSince(State, View.Primary);
   View.Suspects = countSuspects(State, Service);
-  bool OrdererHeard = false;
+  bool OrdererAlive = false;
   for (const control::member &Member : State.Peers->view().Members) {
     const bool Up = Member.State == control::member_state::Alive;
     View.Instances += Up ? 1 : 0;
     const bool Orders =
         View.Claim != nullptr && Member.Name == View.Claim->Claim.Orderer;
-    OrdererHeard = OrdererHeard || (Up && Orders);
+    OrdererAlive = OrdererAlive || (Up && Orders);
   }
-  if (OrdererHeard)
-    State.OrderersGone.erase(Service);
+  if (OrdererAlive)
+    State.OrdererUnreachableSince.erase(Service);
   else
     View.OrdererGoneSince =
-        State.OrderersGone.try_emplace(Service, base::now()).first->second;
+        State.OrdererUnreachableSince.try_emplace(Service, base::now())
+            .first->second;
   return View;
 }
 
-/// Rows that a claim is decided by.
+/// The rows by whose versions a claim is decided.
 struct claim_rows {
   storage::row Service;
   storage::row Orderer;
@@ -79,16 +81,19 @@
   return {std::move(Key), Found->Version, Found->Value};
 }
 
-/// The orderer's row as text: its name, its incarnation and the token.
-std::string ordererText(const native_state &State, std::uint64_t Token) {
+/// The text of the orderer's row: instance name, incarnation and fencing token.
+std::string ordererText(const platform_instance_state &State,
+                        std::uint64_t Token) {
   return State.Settings.Name + " " +
          std::to_string(State.Peers->view().Self.Incarnation) + " " +
          std::to_string(Token);
 }
 
-/// The token under which this instance may order: the present one if it is
-/// the orderer already, the next one otherwise.
-std::uint64_t tokenFor(const native_state &State, const std::string &Text) {
+/// The fencing token with which this instance may order a promotion: the
+/// present one if it is the orderer already, the next one otherwise. \p Text is
+/// the orderer's row.
+std::uint64_t tokenFor(const platform_instance_state &State,
+                       const std::string &Text) {
   const std::size_t Space = Text.rfind(' ');
   if (Space == std::string::npos)
     return 1;
@@ -99,12 +104,12 @@
 /// A move that this instance carries out.
 struct claimed_move {
   primary_claim Claim;
-  /// An earlier claim had begun it and may have ordered a promotion.
+  /// Whether an earlier claim began the move and may have ordered a promotion.
   bool Resumed = false;
 };
 
-/// Whether the service's row says that a move was begun. A row that cannot be
-/// read does not tell that none was.
+/// Whether a move of the service may have been begun. A row that cannot be
+/// parsed does not rule that out.
 bool isUnfinished(const storage::row &Row) {
   if (Row.Version == 0)
     return false;
@@ -114,15 +119,15 @@
 
 /// Claims the move of \p Service in the store. Nothing when another instance
 /// was first or the store did not answer.
-base::task<std::optional<claimed_move>> claimMove(native_state &State,
-                                                  base::service_name Service,
-                                                  base::endpoint_name Primary) {
+base::task<std::optional<claimed_move>>
+claimMove(platform_instance_state &State, base::service_name Service,
+          base::endpoint_name Primary) {
   const auto Rows = co_await readFleet(State);
   if (!Rows)
     co_return std::nullopt;
   const claim_rows Found{rowAt(*Rows, session::claimKey(Service)),
                          rowAt(*Rows, std::string(OrdererKey))};
-  // Somebody else was first, or has finished meanwhile.
+  // Another instance has replaced the primary meanwhile.
   const auto *Known = findClaim(State.Claims, Service);
   if (Known != nullptr && !Known->Claim.Moving &&
       Known->Claim.Primary != Primary)
@@ -148,8 +153,8 @@
   co_return Move;
 }
 
-/// Notes who has acknowledged \p Claim.
-void observeAcknowledgements(const native_state &State,
+/// Records which instances have acknowledged \p Claim.
+void observeAcknowledgements(const platform_instance_state &State,
                              const primary_claim &Claim,
                              session::move_acknowledgements &Acknowledged) {
   const auto &Members = State.Peers->view().Members;
@@ -163,33 +168,35 @@
     Acknowledged.HalfSince = base::now();
 }
 
-/// Whether no later claim of the service is known: another orderer may have
-/// taken over from this one, whose order would come after that one's.
-bool isCurrent(const native_state &State, const primary_claim &Claim) {
+/// Whether \p Claim is still the newest one of its service. Otherwise another
+/// orderer has taken over, and an order of this instance could take effect
+/// after that one's.
+bool isCurrent(const platform_instance_state &State,
+               const primary_claim &Claim) {
   const auto *Known = findClaim(State.Claims, Claim.Service);
   return Known != nullptr && Known->Claim.Epoch == Claim.Epoch;
 }
 
-/// Waits until nobody uses the old primary any more. False when it took too
-/// long.
-base::task<bool> awaitAcknowledgements(native_state &State,
+/// Waits until no instance uses the old primary any more. False at \p Deadline
+/// or when a later claim is known.
+base::task<bool> awaitAcknowledgements(platform_instance_state &State,
                                        const primary_claim &Claim,
                                        instant Deadline) {
   session::move_acknowledgements Acknowledged;
   Acknowledged.ClaimedAt = base::now();
-  State.Peers->sendNow();
+  State.Peers->sendHeartbeatsNow();
   while (base::now() < Deadline && isCurrent(State, Claim)) {
     observeAcknowledgements(State, Claim, Acknowledged);
     if (mayPromote(Acknowledged, State.Handover, base::now()))
       co_return true;
-    co_await pauseAbout(State, StepPause);
+    co_await pauseWithJitter(State, StepPause);
   }
   co_return false;
 }
 
-/// The states of the endpoints that could take over.
+/// The endpoints that could take over and answer, with what they have received.
 base::task<std::vector<session::move_candidate>>
-askCandidates(native_state &State, const primary_claim &Claim) {
+askCandidates(platform_instance_state &State, const primary_claim &Claim) {
   std::vector<session::endpoint_entry> Entries;
   for (const session::endpoint_entry *Entry :
        endpointsOf(State.Endpoints.Directory, Claim.Service))
@@ -197,7 +204,7 @@
       Entries.push_back(*Entry);
   std::vector<session::move_candidate> Candidates;
   for (const session::endpoint_entry &Entry : Entries) {
-    const auto Status = co_await askStatus(State, Entry, StatusTime);
+    const auto Status = co_await askStatus(State, Entry, StatusTimeout);
     if (Status.Status)
       Candidates.push_back(
           {Entry.Name, Entry.Draining, Status.Status->Received});
@@ -205,27 +212,27 @@
   co_return Candidates;
 }
 
-/// What the old primary has, if it still answers. All instances have given it
-/// up, so it gets nothing more that is acknowledged.
+/// The old primary's status, if it still answers. No instance uses it any more,
+/// so it commits nothing more that is acknowledged.
 base::task<std::optional<session::endpoint_status>>
-askOldPrimary(native_state &State, const primary_claim &Claim) {
+askOldPrimary(platform_instance_state &State, const primary_claim &Claim) {
   const auto *Entry = findEndpoint(State.Endpoints.Directory, Claim.Primary);
   if (Entry == nullptr)
     co_return std::nullopt;
   const session::endpoint_entry Copy = *Entry;
-  const auto Status = co_await askStatus(State, Copy, StatusTime);
+  const auto Status = co_await askStatus(State, Copy, StatusTimeout);
   co_return Status.Status;
 }
 
-/// Chooses who takes over, waiting for a replica to receive what the old
-/// primary still tells. Empty when there is nobody.
-base::task<base::endpoint_name> findTarget(native_state &State,
+/// Chooses the new primary, waiting for a replica to receive all that the old
+/// primary still reports. Empty when there is none.
+base::task<base::endpoint_name> findTarget(platform_instance_state &State,
                                            const primary_claim &Claim) {
   const auto Old = co_await askOldPrimary(State, Claim);
   std::optional<session::log_point> Needed;
   if (Old)
     Needed = Old->Received;
-  const instant Latest = base::now() + State.Handover.CatchUp;
+  const instant Latest = base::now() + State.Handover.CatchUpTimeout;
   while (true) {
     const auto Candidates = co_await askCandidates(State, Claim);
     const bool Patient = base::now() < Latest;
@@ -235,54 +242,58 @@
       co_return Target->Name;
     if (!Patient)
       co_return base::endpoint_name();
-    co_await pauseAbout(State, StepPause);
+    co_await pauseWithJitter(State, StepPause);
   }
 }
 
-/// Orders the promotion until it is accepted or refused.
-base::task<bool> promote(native_state &State, const primary_claim &Claim,
-                         base::endpoint_name Target, instant Deadline) {
+/// Orders the promotion, repeatedly until the platform accepts or refuses it.
+/// False when it was refused, at \p Deadline or when a later claim is known.
+base::task<bool> promote(platform_instance_state &State,
+                         const primary_claim &Claim, base::endpoint_name Target,
+                         instant Deadline) {
   while (base::now() < Deadline && isCurrent(State, Claim)) {
     platform::promotion_order Order{Claim.Service, Target, Claim.Orderer,
                                     Claim.Token};
-    State.Ordering.insert(Claim.Service);
-    State.Peers->passOn(false);
+    State.PromotionsInFlight.insert(Claim.Service);
+    State.Peers->setRelaysReports(false);
     const auto Outcome = co_await platform::orderPromotion(
-        State.Promotions, std::move(Order), base::now() + OrderTime);
-    State.Ordering.erase(Claim.Service);
-    State.OrderedAt = base::now();
+        State.Promotions, std::move(Order), base::now() + PromotionTimeout);
+    State.PromotionsInFlight.erase(Claim.Service);
+    State.LastPromotionEndedAt = base::now();
     if (Outcome != platform::promotion_outcome::Unknown)
       co_return Outcome == platform::promotion_outcome::Accepted;
-    co_await pauseAbout(State, 5 * StepPause);
+    co_await pauseWithJitter(State, 5 * StepPause);
   }
   co_return false;
 }
 
-/// Waits until \p Target leads. False when it does not come to that.
-base::task<bool> awaitLead(native_state &State, const primary_claim &Claim,
-                           base::endpoint_name Target, instant Deadline) {
+/// Waits until \p Target reports that it is the primary. False when it is not
+/// listed any more, at \p Deadline or when a later claim is known.
+base::task<bool> awaitPromotion(platform_instance_state &State,
+                                const primary_claim &Claim,
+                                base::endpoint_name Target, instant Deadline) {
   while (base::now() < Deadline && isCurrent(State, Claim)) {
     const auto *Entry = findEndpoint(State.Endpoints.Directory, Target);
     if (Entry == nullptr)
       co_return false;
     const session::endpoint_entry Copy = *Entry;
-    const auto Status = co_await askStatus(State, Copy, StatusTime);
+    const auto Status = co_await askStatus(State, Copy, StatusTimeout);
     if (Status.Status && Status.Status->Role == session::endpoint_role::Primary)
       co_return true;
-    co_await pauseAbout(State, 2 * StepPause);
+    co_await pauseWithJitter(State, 2 * StepPause);
   }
   co_return false;
 }
 
-/// Tells the instances who the primary is, then the store: it may be down, and
-/// the instances need not wait for it.
-base::task<void> finishMove(native_state &State, primary_claim Claim,
+/// Announces the new primary to the instances, then writes it to the store. The
+/// store may be down, and the instances need not wait for it.
+base::task<void> finishMove(platform_instance_state &State, primary_claim Claim,
                             base::endpoint_name Target) {
   const std::uint64_t Epoch = Claim.Epoch;
   Claim.Primary = std::move(Target);
   Claim.Moving = false;
-  takeClaim(State, Claim);
-  State.Peers->sendNow();
+  acceptClaim(State, Claim);
+  State.Peers->sendHeartbeatsNow();
   while (!State.Stopped) {
     const auto *Known = findClaim(State.Claims, Claim.Service);
     if (Known == nullptr || Known->Claim != Claim)
@@ -295,80 +306,87 @@
         co_await storage::commit(State.Store, std::move(Request));
     if (Versions) {
       Claim.Epoch = Versions->front();
-      takeClaim(State, Claim);
+      acceptClaim(State, Claim);
       co_return;
     }
     if (kindOf(Versions.error()) == base::errc::Conflict) {
-      // Another orderer has begun anew, or our own write did take effect.
-      State.FleetReadWanted = true;
+      // Another orderer has claimed the service, or an earlier try of this
+      // write took effect.
+      State.FleetReadRequested = true;
       co_return;
     }
-    co_await pauseAbout(State, 10 * StepPause);
+    co_await pauseWithJitter(State, 10 * StepPause);
   }
 }
 
-/// Carries a claimed move out.
-base::task<bool> carryOut(native_state &State, const claimed_move &Move) {
+/// Executes a claimed move. True when the service has a primary again.
+base::task<bool> executeMove(platform_instance_state &State,
+                             const claimed_move &Move) {
   const primary_claim &Claim = Move.Claim;
-  const instant Deadline = base::now() + MoveTime;
+  const instant Deadline = base::now() + MoveTimeout;
   const bool Fenced = co_await awaitAcknowledgements(State, Claim, Deadline);
   if (!Fenced) {
-    say(Claim.Service, "the move waits for half of the instances.");
+    logMove(Claim.Service,
+            "the move waits for acknowledgements of half of the instances.");
     co_return false;
   }
   const base::endpoint_name Target = co_await findTarget(State, Claim);
   if (Target.empty()) {
-    // Nobody else can take over: the old primary goes on if it still leads.
+    // No other endpoint can take over: the old primary is kept if it still is
+    // the primary.
     const auto Old = co_await askOldPrimary(State, Claim);
-    if (!mayGoOn(Old, Move.Resumed)) {
-      say(Claim.Service, "no endpoint can take over.");
+    if (!mayKeepOldPrimary(Old, Move.Resumed)) {
+      logMove(Claim.Service, "no endpoint can take over.");
       co_return false;
     }
-    say(Claim.Service, "no endpoint can take over; the old primary goes on.");
+    logMove(Claim.Service,
+            "no endpoint can take over; the old primary is kept.");
     co_await finishMove(State, Claim, Claim.Primary);
     co_return true;
   }
-  say(Claim.Service, "promoting " + Target + ".");
+  logMove(Claim.Service, "promoting " + Target + ".");
   const bool Promoted = co_await promote(State, Claim, Target, Deadline);
   bool Leads = false;
   if (Promoted)
-    Leads = co_await awaitLead(State, Claim, Target, Deadline);
+    Leads = co_await awaitPromotion(State, Claim, Target, Deadline);
   if (!Leads) {
-    say(Claim.Service, Target + " did not take the lead.");
+    logMove(Claim.Service, Target + " did not become primary.");
     co_return false;
   }
   co_await finishMove(State, Claim, Target);
   co_return true;
 }
 
-base::task<void> movePrimary(native_ptr State, base::service_name Service,
-                             move_cause Cause) {
+base::task<void> movePrimary(platform_instance_ptr State,
+                             base::service_name Service, move_cause Cause) {
   const base::endpoint_name Primary = primaryOf(*State, Service);
   const instant Begun = base::now();
   const auto Move = co_await claimMove(*State, Service, Primary);
   if (Move) {
-    say(Service, "moving the primary from " + Primary + ", cause " +
-                     std::string(moveCauseName(Cause)) + ".");
-    takeClaim(*State, Move->Claim);
-    const bool Done = co_await carryOut(*State, *Move);
+    logMove(Service, "moving the primary from " + Primary + ", cause " +
+                         std::string(moveCauseName(Cause)) + ".");
+    acceptClaim(*State, Move->Claim);
+    const bool Done = co_await executeMove(*State, *Move);
     const auto Took =
         std::chrono::duration_cast<milliseconds>(base::now() - Begun);
-    say(Service, std::string(Done ? "moved" : "not moved") + " after " +
-                     std::to_string(Took.count()) + " ms.");
+    logMove(Service, std::string(Done ? "moved" : "not moved") + " after " +
+                         std::to_string(Took.count()) + " ms.");
   }
-  // A failed step is begun again from the rows, by whoever is the reader then.
-  co_await pauseAbout(*State, GuardEvery);
+  // After a failed step the store reader of that time begins the move again
+  // from the rows.
+  co_await pauseWithJitter(*State, PrimaryCheckInterval);
   State->Moving.erase(Service);
 }
 
-void guard(native_ptr State, const base::service_name &Service) {
+void checkPrimary(platform_instance_ptr State,
+                  const base::service_name &Service) {
   const base::endpoint_name Primary = primaryOf(*State, Service);
   probeIfInDoubt(State, Primary);
   const auto *Known = findClaim(State->Claims, Service);
   const bool OwnMove = Known != nullptr && Known->Claim.Moving &&
                        Known->Claim.Orderer == State->Settings.Name;
   if (State->Draining || State->Moving.contains(Service) ||
-      (!isReader(*State) && !OwnMove))
+      (!isStoreReader(*State) && !OwnMove))
     return;
   const auto View = viewOf(*State, Service);
   const move_cause Cause = causeToMove(View, State->Handover, base::now());
@@ -381,14 +399,14 @@
 
 } // namespace
 
-base::task<void> guardPrimaries(native_ptr State) {
+base::task<void> monitorPrimaries(platform_instance_ptr State) {
   while (!State->Stopped) {
     if (State->Peers && State->Routes && State->FleetReadAt) {
       const session::route_table_ptr Table = State->Routes;
       for (const auto &[Service, Limits] : Table->Services)
-        guard(State, Service);
+        checkPrimary(State, Service);
     }
-    co_await pauseAbout(*State, GuardEvery);
+    co_await pauseWithJitter(*State, PrimaryCheckInterval);
   }
 }
 
