--- a/packages/redwinggw/src/native_news.cpp
+++ b/packages/redwinggw/src/platform_heartbeats.cpp
@@ -1,14 +1,14 @@
-#include "native_state.hpp"
+#include "platform_instance_state.hpp"
 
 #include "redwinggw/base/log.hpp"
-#include "redwinggw/control/gathered_rates.hpp"
+#include "redwinggw/control/centralized_buckets.hpp"
 #include "redwinggw/control/relays.hpp"
 
 #include <algorithm>
 #include <map>
 #include <utility>
 
-/// What instances tell each other in their heartbeats.
+/// Content of the heartbeats that instances send each other.
 namespace redwinggw {
 namespace {
 
@@ -19,13 +19,15 @@
   return Member.State == control::member_state::Alive;
 }
 
-bool readsForOthers(const native_state &State, const control::member &Member,
-                    instant Now) {
-  return isUp(Member) && readsStore(State.Peers->view(), Member, Now);
+bool readsForOthers(const platform_instance_state &State,
+                    const control::member &Member, instant Now) {
+  return isUp(Member) &&
+         hasRecentStoreContact(State.Peers->view(), Member, Now);
 }
 
-/// The agreements on primaries, and this instance's suspicions.
-std::vector<wire::group_report> groupReports(const native_state &State) {
+/// The known claims of primaries, and this instance's suspicions.
+std::vector<wire::group_report>
+groupReports(const platform_instance_state &State) {
   auto Reports = session::reportsOf(State.Claims);
   if (!State.Routes)
     return Reports;
@@ -44,10 +46,11 @@
   return Reports;
 }
 
-/// The newest sample of each service's log, whoever took it: a relay passes on
-/// those of the others.
-std::vector<wire::position_report> positionReports(const native_state &State) {
-  // Older than any bound in use: of no value to anybody.
+/// The newest sample of each service's log position, whichever instance took
+/// it: a relay passes on the samples of others.
+std::vector<wire::position_report>
+positionReports(const platform_instance_state &State) {
+  // Older samples exceed any staleness bound in use.
   constexpr milliseconds Oldest{3000};
   std::vector<wire::position_report> Reports;
   const instant Now = base::now();
@@ -64,8 +67,10 @@
   return Reports;
 }
 
-/// How many of the instances that report here cannot work with each primary.
-std::vector<wire::suspicion_count> suspicionsHere(const native_state &State) {
+/// For each primary, how many of the instances that report to this one suspect
+/// it.
+std::vector<wire::suspicion_count>
+reportedSuspicions(const platform_instance_state &State) {
   std::map<std::pair<std::string, std::string>, std::uint16_t> Counts;
   for (const control::member &Member : State.Peers->view().Members)
     if (isUp(Member) && control::reportsHere(Member))
@@ -74,52 +79,56 @@
           ++Counts[{Report.Group, Report.Primary}];
   std::vector<wire::suspicion_count> Suspicions;
   Suspicions.reserve(Counts.size());
-  for (const auto &[Place, Count] : Counts)
-    Suspicions.push_back({Place.first, Place.second, Count});
+  for (const auto &[Suspected, Count] : Counts)
+    Suspicions.push_back({Suspected.first, Suspected.second, Count});
   return Suspicions;
 }
 
-/// While an order to promote is on its way this instance takes in no later
-/// claim of the service, and must not tell that those who know of it are up:
-/// whoever counted them would not know what they know. Afterwards the claim is
-/// told again with the next heartbeats.
-bool passesOn(const native_state &State) {
-  constexpr milliseconds ToldAgainWithin{450};
-  return State.Ordering.empty() &&
-         (State.OrderedAt == instant::min() ||
-          base::now() - State.OrderedAt > ToldAgainWithin);
+/// Whether this instance may report other instances as alive. While a promotion
+/// order is unanswered it accepts no later claim of the service, and so must
+/// not report instances that know such a claim: an instance that counted them
+/// as alive would not learn the claim. Afterwards the claim arrives again with
+/// the next heartbeats.
+bool mayReportOthers(const platform_instance_state &State) {
+  constexpr milliseconds ReannounceTime{450};
+  return State.PromotionsInFlight.empty() &&
+         (State.LastPromotionEndedAt == instant::min() ||
+          base::now() - State.LastPromotionEndedAt > ReannounceTime);
 }
 
-void completeDigests(native_state &State) {
+void completeDigests(platform_instance_state &State) {
   wire::fleet_digest Zone;
   wire::fleet_digest Fleet;
   if (State.Peers->view().Relay && usesRelays(State.Peers->view())) {
     Zone.Demands = zoneDemands(State.Shares);
-    Zone.Suspicions = suspicionsHere(State);
+    Zone.Suspicions = reportedSuspicions(State);
     Fleet.Demands = fleetDemands(State.Shares);
   }
   State.Peers->setDigests(std::move(Zone), std::move(Fleet));
-  State.Peers->passOn(passesOn(State));
+  State.Peers->setRelaysReports(mayReportOthers(State));
 }
 
-void completeHeartbeat(native_state &State, wire::peer_report &Report) {
+void completeHeartbeat(platform_instance_state &State,
+                       wire::peer_report &Report) {
   const instant Now = base::now();
   Report.Demands = announceDemand(State.Shares, Now);
   Report.Positions = positionReports(State);
-  // The parts follow at the pace of the heartbeats that carry the demands.
-  const bool InTouch = isInTouch(State);
-  divideRates(State.Shares, State.Peers->view(), InTouch, Now);
-  gatherRates(State.Shares, State.Peers->view(), InTouch, Now);
-  Report.Gathers = hasGathered(State.Shares, Now);
+  // Shares are recomputed with each heartbeat, since heartbeats carry the
+  // demands.
+  const bool InContact = isInContactWithFleet(State);
+  divideRates(State.Shares, State.Peers->view(), InContact, Now);
+  centralizeBuckets(State.Shares, State.Peers->view(), InContact, Now);
+  Report.CentralizesBuckets = hasCentralizedBuckets(State.Shares, Now);
   Report.Groups = groupReports(State);
   Report.ConfigurationRow = State.Stored.Row;
   Report.NewestRow = std::max(State.Stored.Row, newestConfigurationRow(State));
   completeDigests(State);
 }
 
-/// An agreement that another instance knows of. The token is in the store only:
-/// whoever orders next reads it there.
-void takeGroup(native_state &State, const wire::group_report &Report) {
+/// Accepts a claim that another instance reports. Reports do not carry its
+/// fencing token, which the next orderer reads from the store.
+void acceptReportedClaim(platform_instance_state &State,
+                         const wire::group_report &Report) {
   if (Report.Term == 0)
     return;
   session::primary_claim Claim;
@@ -128,59 +137,62 @@
   Claim.Primary = Report.Primary;
   Claim.Moving = Report.Moving;
   Claim.Orderer = Report.Orderer;
-  takeClaim(State, Claim);
+  acceptClaim(State, Claim);
 }
 
-void takePositions(native_state &State, const control::member &Member) {
+void acceptReportedPositions(platform_instance_state &State,
+                             const control::member &Member) {
   if (!Member.ReportAt || !State.Routes)
     return;
   const instant Now = base::now();
   for (const wire::position_report &Report : Member.Report.Positions)
     for (const auto &[Service, Limits] : State.Routes->Services)
       if (wire::hashOf(Service) == Report.Group)
-        // ReportAt is the earliest time at which the report can have been
-        // made, so the sample never looks younger than it is.
+        // ReportAt is the earliest time at which the report can have been made,
+        // so the sample never looks younger than it is.
         addSample(State.Endpoints.Samples[Service],
                   {*Member.ReportAt - milliseconds(Report.Age),
                    {Report.Term, Report.Position}},
                   Now);
 }
 
-void takeReport(native_state &State, const control::member &Member) {
+void acceptReport(platform_instance_state &State,
+                  const control::member &Member) {
   for (const wire::group_report &Report : Member.Report.Groups)
-    takeGroup(State, Report);
-  takePositions(State, Member);
+    acceptReportedClaim(State, Report);
+  acceptReportedPositions(State, Member);
   if (Member.Report.HeadVersion > State.Claims.Version ||
-      State.Peers->view().ToldOfStrangers)
-    State.FleetReadWanted = true;
+      State.Peers->view().UnlistedReported)
+    State.FleetReadRequested = true;
 }
 
 } // namespace
 
-void tellClaims(native_state &State) {
+void announceClaims(platform_instance_state &State) {
   if (!State.Peers)
     return;
   State.Peers->setVersion(State.Claims.Version);
-  State.Peers->tellGroups(groupReports(State));
+  State.Peers->setAllGroupReports(groupReports(State));
 }
 
-void connectPeers(native_state &State) {
-  State.Peers->completeHeartbeats([&State](wire::peer_report &Report) {
+void connectPeers(platform_instance_state &State) {
+  State.Peers->setHeartbeatFiller([&State](wire::peer_report &Report) {
     completeHeartbeat(State, Report);
   });
   State.Peers->onReport(
-      [&State](const control::member &Member) { takeReport(State, Member); });
-  State.Peers->onReading(
-      [&State](const control::member &, const wire::store_reading &Reading) {
-        takeReading(State, Reading);
-      });
-  State.Peers->onStranger([&State] { State.FleetReadWanted = true; });
+      [&State](const control::member &Member) { acceptReport(State, Member); });
+  State.Peers->onSharedRead([&State](const control::member &,
+                                     const wire::shared_store_read &Reading) {
+    acceptSharedRead(State, Reading);
+  });
+  State.Peers->onUnlistedInstance(
+      [&State] { State.FleetReadRequested = true; });
 }
 
-bool isReader(const native_state &State) {
+bool isStoreReader(const platform_instance_state &State) {
   if (!State.Peers)
     return true;
-  if (State.Draining && hasReader(State))
+  if (State.Draining && hasStoreReader(State))
     return false;
   const instant Now = base::now();
   const auto &View = State.Peers->view();
@@ -190,7 +202,7 @@
   });
 }
 
-bool hasReader(const native_state &State) {
+bool hasStoreReader(const platform_instance_state &State) {
   if (!State.Peers)
     return false;
   const instant Now = base::now();
@@ -202,7 +214,7 @@
   });
 }
 
-std::uint64_t newestConfigurationRow(const native_state &State) {
+std::uint64_t newestConfigurationRow(const platform_instance_state &State) {
   std::uint64_t Newest = 0;
   if (State.Peers)
     for (const control::member &Member : State.Peers->view().Members)
@@ -212,19 +224,21 @@
 
 namespace {
 
-/// Suspicions of \p Primary that the relay of an availability zone counted.
-/// Both relays of a zone count the same ones.
-std::size_t countRelayedSuspects(const native_state &State,
+/// Suspicions of \p Primary as counted by the relays of the other availability
+/// zones. Both relays of a zone count the same instances, so the higher count
+/// of a zone is used.
+std::size_t countRelayedSuspects(const platform_instance_state &State,
                                  std::string_view Service,
                                  std::string_view Primary) {
   std::map<base::zone_name, std::size_t> Zones;
   for (const control::member &Member : State.Peers->view().Members) {
     if (!isUp(Member) || Member.Zone == State.Settings.Zone)
       continue;
-    for (const wire::suspicion_count &Told : Member.Report.Digest.Suspicions)
-      if (Told.Group == Service && Told.Primary == Primary)
+    for (const wire::suspicion_count &Reported :
+         Member.Report.Digest.Suspicions)
+      if (Reported.Group == Service && Reported.Primary == Primary)
         Zones[Member.Zone] =
-            std::max<std::size_t>(Zones[Member.Zone], Told.Count);
+            std::max<std::size_t>(Zones[Member.Zone], Reported.Count);
   }
   std::size_t Count = 0;
   for (const auto &[Zone, Most] : Zones)
@@ -234,9 +248,10 @@
 
 } // namespace
 
-std::size_t countSuspects(const native_state &State, std::string_view Service) {
+std::size_t countSuspects(const platform_instance_state &State,
+                          std::string_view Service) {
   std::size_t Count = suspects(State, Service) ? 1 : 0;
-  // Reports may still speak of a primary that was replaced meanwhile.
+  // Reports may still name a primary that was replaced meanwhile.
   const base::endpoint_name Primary = primaryOf(State, Service);
   if (!State.Peers)
     return Count;
--- a/packages/redwinggw/src/native_instance.cpp
+++ b/packages/redwinggw/src/platform_instance.cpp
@@ -1,4 +1,4 @@
-#include "native_state.hpp"
+#include "platform_instance_state.hpp"
 
 #include "platform/database_link.hpp"
 
@@ -17,17 +17,18 @@
 using base::log_part;
 using base::milliseconds;
 
-constexpr milliseconds HousekeepingEvery{200};
-/// Longer than the pause in which a lost majority is made up for by readings
-/// of the store.
+constexpr milliseconds HousekeepingInterval{200};
+/// Longer than it takes until reads of the store replace the contact with a
+/// lost majority.
 constexpr milliseconds CutOffAfter{800};
 
-void entered(kernel::life_state State) {
+void noteLifeState(kernel::life_state State) {
   base::log(log_level::Info, log_part::Main,
             "Instance is " + std::string(kernel::lifeStateName(State)) + ".");
 }
 
-base::task<http::response> answerReadiness(const native_state &State) {
+base::task<http::response>
+answerReadiness(const platform_instance_state &State) {
   http::response Response;
   constexpr unsigned Unavailable = 503;
   if (!isReady(State))
@@ -37,7 +38,7 @@
   co_return Response;
 }
 
-void collectNativeMetrics(native_state &State) {
+void collectPlatformMetrics(platform_instance_state &State) {
   using base::metric;
   base::metrics &Metrics = State.Core.Metrics;
   observeProcess(Metrics);
@@ -69,67 +70,70 @@
       static_cast<double>(Traffic.ReceivedBytes);
 }
 
-base::task<http::response> answerMetrics(native_state &State) {
+base::task<http::response> answerMetrics(platform_instance_state &State) {
   http::response Response;
-  collectNativeMetrics(State);
+  collectPlatformMetrics(State);
   Response.ContentType = "text/plain";
   Response.Body = toPrometheus(State.Core.Metrics);
   co_return Response;
 }
 
-/// \name Steps of a graceful stop, from its beginning
-/// The platform kills a process six seconds after its first signal.
+/// \name Steps of a graceful stop, as times since the signal
+/// The platform kills a process six seconds after the first signal.
 /// @{
-/// The balancer has asked twice by then and sends nobody any more. Whoever was
-/// sent before is still served: a session closed sooner would come back here.
-constexpr milliseconds CallersKnow{2100};
-/// Open transactions may end until then: half of the time.
-constexpr milliseconds TransactionsEnd{3100};
-/// Statements still at work get their answers until then.
-constexpr milliseconds AnswersEnd{5200};
-constexpr milliseconds DrainPace{100};
+/// By then the balancer has checked readiness twice and sends no callers any
+/// more. Sessions are not closed sooner, since their callers would be sent back
+/// here.
+constexpr milliseconds BalancerNoticeTime{2100};
+/// Open transactions are rolled back after this time, half of the six seconds.
+constexpr milliseconds TransactionDeadline{3100};
+/// Running statements are answered until this time.
+constexpr milliseconds AnswerDeadline{5200};
+constexpr milliseconds DrainStepInterval{100};
 /// @}
 
-/// Closes idle sessions a few at a time, so that they do not all come back to
-/// the other instances at once.
-void closeSomeIdle(native_state &State, base::microseconds Elapsed) {
+/// Closes idle sessions a few at a time, so that their callers do not all
+/// connect to the other instances at once.
+void closeSomeIdle(platform_instance_state &State, base::microseconds Elapsed) {
   constexpr std::size_t Rounds = 6;
-  const bool Late = Elapsed >= TransactionsEnd;
+  const bool Late = Elapsed >= TransactionDeadline;
   const std::size_t Open = State.Callers.open();
   State.Callers.closeIdle(Late ? Open : Open / Rounds + 1);
 }
 
-base::task<void> leaveFleet(native_state &State) {
+base::task<void> leaveFleet(platform_instance_state &State) {
   if (!State.Peers)
     co_return;
   co_await removeInstance(State);
   State.Peers->stop();
 }
 
-base::task<void> drainNative(native_ptr State) {
+base::task<void> drainPlatformInstance(platform_instance_ptr State) {
   const base::instant Begun = base::now();
   if (State->Peers)
     State->Peers->drain();
-  while (base::now() - Begun < CallersKnow)
-    co_await pauseAbout(*State, DrainPace);
+  while (base::now() - Begun < BalancerNoticeTime)
+    co_await pauseWithJitter(*State, DrainStepInterval);
   State->Callers.stopAccepting();
   State->Core.Draining = true;
-  // The callers go elsewhere now, and their parts of the rates with them.
+  // The callers connect to other instances from now on, which need this
+  // instance's shares of the rates.
   yieldRates(State->Shares);
   const auto IsBusy = [&State] {
-    const bool Relays = State->RelayServer && State->RelayServer->leases() > 0;
-    return State->Callers.open() > 0 || Relays;
+    const bool Forwarding =
+        State->ForwardingServer && State->ForwardingServer->pinnedLinks() > 0;
+    return State->Callers.open() > 0 || Forwarding;
   };
-  while (IsBusy() && base::now() - Begun < AnswersEnd) {
+  while (IsBusy() && base::now() - Begun < AnswerDeadline) {
     const auto Elapsed = base::now() - Begun;
-    if (Elapsed >= TransactionsEnd)
+    if (Elapsed >= TransactionDeadline)
       State->Callers.endTransactions();
     closeSomeIdle(*State, Elapsed);
-    co_await pauseAbout(*State, DrainPace);
+    co_await pauseWithJitter(*State, DrainStepInterval);
   }
   co_await leaveFleet(*State);
-  if (State->RelayServer)
-    State->RelayServer->stop();
+  if (State->ForwardingServer)
+    State->ForwardingServer->stop();
   State->Stopped = true;
   State->Life.process(kernel::life_event::Drained);
   State->Context.stop();
@@ -137,11 +141,12 @@
 
 } // namespace
 
-native_state::native_state(asio::io_context &Context, redwinggw::settings Given)
+platform_instance_state::platform_instance_state(asio::io_context &Context,
+                                                 redwinggw::settings Given)
     : Context(Context), Settings(std::move(Given)),
       Store{Context.get_executor(), Settings.Platform, Settings.Name,
             Settings.PlatformTimeout},
-      Reader(Context.get_executor(), Settings.Platform),
+      StoreReader(Context.get_executor(), Settings.Platform),
       Endpoints(Context.get_executor(), Settings.Zone, {}), Core(Endpoints),
       Callers(Context.get_executor(), Core),
       Readiness(Context.get_executor(), {},
@@ -153,70 +158,71 @@
                 return answerMetrics(*this);
               }),
       Promotions(Context.get_executor(), Settings.Promotions),
-      Loans(Context.get_executor(), Endpoints.Watch), Life(entered),
+      TokenWaits(Context.get_executor(), Endpoints.Watch), Life(noteLifeState),
       Random(std::random_device()()) {
   Endpoints.Factory =
       platform::databaseLinks(Context.get_executor(), Endpoints.Watch);
   platform::useRows(Store, Settings.Platform);
-  Core.Ports = nativePorts(*this);
+  Core.Ports = sessionCorePorts(*this);
 }
 
-bool isCutOff(const native_state &State) {
-  return State.OutOfTouchSince &&
-         base::now() - *State.OutOfTouchSince > CutOffAfter;
+bool isCutOff(const platform_instance_state &State) {
+  return State.OutOfContactSince &&
+         base::now() - *State.OutOfContactSince > CutOffAfter;
 }
 
-bool isReady(const native_state &State) {
+bool isReady(const platform_instance_state &State) {
   return State.Listening && !State.Draining && !isCutOff(State);
 }
 
-session::core_ports nativePorts(native_state &State) {
+session::core_ports sessionCorePorts(platform_instance_state &State) {
   session::core_ports Ports;
   Ports.Routes = [&State] { return State.Routes; };
   Ports.Admit = [&State](base::customer_name Customer, unsigned Priority,
                          base::microseconds Patience) {
-    return admitNative(State, std::move(Customer), Priority, Patience);
+    return admitOperation(State, std::move(Customer), Priority, Patience);
   };
   Ports.Settle = [&State](std::string_view Customer, bool Ran) {
     settleDemandToken(State.Shares, Customer, Ran, base::now());
   };
-  Ports.Right = [&State](std::string_view Service) {
-    return rightTo(State, Service);
+  Ports.PrimaryLease = [&State](std::string_view Service) {
+    return primaryLeaseFor(State, Service);
   };
-  Ports.StillHolds = [&State](const session::primary_right &Right) {
-    return rightTo(State, Right.Service) == Right;
+  Ports.StillHolds = [&State](const session::primary_lease &PrimaryLease) {
+    return primaryLeaseFor(State, PrimaryLease.Service) == PrimaryLease;
   };
   Ports.PrimaryExpected = [&State](std::string_view Service) {
     return primaryExpected(State, Service);
   };
-  Ports.Relay = [&State](const session::endpoint_entry &Entry,
-                         std::string_view Customer, unsigned Priority) {
-    return relayTo(State, Entry, Customer, Priority);
+  Ports.Forward = [&State](const session::endpoint_entry &Entry,
+                           std::string_view Customer, unsigned Priority) {
+    return forwardingLinkTo(State, Entry, Customer, Priority);
   };
-  Ports.NoteTrouble = [](std::string_view) {};
+  Ports.NoteEndpointProblem = [](std::string_view) {};
   return Ports;
 }
 
 namespace {
 
-/// An instance that may not use primaries can serve little: callers do better
-/// elsewhere. Those with sessions here come back through the balancer, which
-/// sends no one to an instance that is not ready.
-void noteTouch(native_state &State) {
-  if (isInTouch(State)) {
-    State.OutOfTouchSince.reset();
+/// Closes idle sessions while the instance may not use primaries: it can serve
+/// little then, and the balancer sends the callers to instances that are ready.
+void noteFleetContact(platform_instance_state &State) {
+  if (isInContactWithFleet(State)) {
+    State.OutOfContactSince.reset();
     return;
   }
-  if (!State.OutOfTouchSince)
-    State.OutOfTouchSince = base::now();
+  if (!State.OutOfContactSince)
+    State.OutOfContactSince = base::now();
   constexpr std::size_t ClosedAtOnce = 20;
   if (isCutOff(State))
     State.Callers.closeIdle(ClosedAtOnce);
 }
 
-/// Callers are taken once there is a configuration to serve them by.
-void openToCallers(native_state &State) {
-  if (State.Listening || !State.Routes || !State.ListAt || !State.FleetReadAt)
+/// Opens the callers' address once the configuration, the endpoint list and the
+/// rows of the fleet have been read.
+void listenForCallers(platform_instance_state &State) {
+  if (State.Listening || !State.Routes || !State.EndpointListAt ||
+      !State.FleetReadAt)
     return;
   State.Listening = true;
   if (const auto Listening = State.Callers.listen(State.Settings.Callers);
@@ -226,25 +232,27 @@
 
 } // namespace
 
-base::task<void> keepNativeHouse(native_ptr State) {
+base::task<void> runPlatformHousekeeping(platform_instance_ptr State) {
   while (true) {
     base::flushLog();
-    noteTouch(*State);
-    openToCallers(*State);
+    noteFleetContact(*State);
+    listenForCallers(*State);
     divideConnections(*State);
     State->Callers.endAbandoned();
     for (auto &[Name, Pool] : State->Endpoints.Pools)
       Pool->closeUnused(base::now());
-    co_await pauseAbout(*State, HousekeepingEvery);
+    co_await pauseWithJitter(*State, HousekeepingInterval);
   }
 }
 
-native_instance::native_instance(asio::io_context &Context, settings Settings)
-    : State(std::make_shared<native_state>(Context, std::move(Settings))) {}
+platform_instance::platform_instance(asio::io_context &Context,
+                                     settings Settings)
+    : State(std::make_shared<platform_instance_state>(Context,
+                                                      std::move(Settings))) {}
 
-native_instance::~native_instance() = default;
+platform_instance::~platform_instance() = default;
 
-base::result<void> native_instance::start() {
+base::result<void> platform_instance::start() {
   if (const auto Listening = State->Readiness.listen(State->Settings.Readiness);
       !Listening)
     return Listening.error();
@@ -255,22 +263,22 @@
   asio::co_spawn(Executor, joinFleet(State), asio::detached);
   asio::co_spawn(Executor, followConfiguration(State), asio::detached);
   asio::co_spawn(Executor, followEndpoints(State), asio::detached);
-  asio::co_spawn(Executor, guardPrimaries(State), asio::detached);
-  asio::co_spawn(Executor, keepNativeHouse(State), asio::detached);
+  asio::co_spawn(Executor, monitorPrimaries(State), asio::detached);
+  asio::co_spawn(Executor, runPlatformHousekeeping(State), asio::detached);
   State->Life.process(kernel::life_event::Ready);
   return {};
 }
 
-void native_instance::stop() {
+void platform_instance::stop() {
   if (State->Draining)
     return;
   State->Draining = true;
   State->Life.process(kernel::life_event::Stop);
-  asio::co_spawn(State->Context, drainNative(State), asio::detached);
+  asio::co_spawn(State->Context, drainPlatformInstance(State), asio::detached);
 }
 
-void native_instance::reload(settings Settings) {
-  // Addresses and names are in use; they change with the next start.
+void platform_instance::reload(settings Settings) {
+  // Addresses and names are in use and change with the next start only.
   base::setLogLevel(Settings.LogLevel);
   State->Settings.LogLevel = Settings.LogLevel;
   base::log(log_level::Info, log_part::Main, "The settings were read again.");
--- a/packages/redwinggw/src/native_instance.hpp
+++ b/packages/redwinggw/src/platform_instance.hpp
@@ -6,18 +6,18 @@
 
 #include <memory>
 
-/// An entry instance on the users' platform.
+/// An instance on the users' platform, whose protocols platform/ translates.
 namespace redwinggw {
 
-struct native_state;
+struct platform_instance_state;
 
 /// Used from one thread; \p Context must be run after start.
-class native_instance {
+class platform_instance {
 public:
-  native_instance(boost::asio::io_context &Context, settings Settings);
-  native_instance(const native_instance &) = delete;
-  native_instance &operator=(const native_instance &) = delete;
-  ~native_instance();
+  platform_instance(boost::asio::io_context &Context, settings Settings);
+  platform_instance(const platform_instance &) = delete;
+  platform_instance &operator=(const platform_instance &) = delete;
+  ~platform_instance();
 
   /// Opens the addresses and begins to join the fleet. Fails with
   /// errc::BadSettings when an address cannot be used.
@@ -26,11 +26,11 @@
   /// Begins the graceful shutdown; the context's run returns when it is over.
   void stop();
 
-  /// Takes in settings that were changed while running.
+  /// Applies changed settings while running: the log level only.
   void reload(settings Settings);
 
 private:
-  std::shared_ptr<native_state> State;
+  std::shared_ptr<platform_instance_state> State;
 };
 
 } // namespace redwinggw
--- /dev/null
+++ b/packages/redwinggw/src/platform_instance_state.hpp
@@ -0,0 +1,270 @@
+#pragma once
+
+#include "platform_instance.hpp"
+
+#include "platform/caller_listener.hpp"
+#include "platform/row_store.hpp"
+
+#include "redwinggw/control/centralized_buckets.hpp"
+#include "redwinggw/control/demand_shares.hpp"
+#include "redwinggw/control/peer_service.hpp"
+#include "redwinggw/control/token_transfer.hpp"
+#include "redwinggw/http/server.hpp"
+#include "redwinggw/kernel/life_cycle.hpp"
+#include "redwinggw/session/endpoint_owner.hpp"
+#include "redwinggw/session/forwarding_client.hpp"
+#include "redwinggw/session/forwarding_server.hpp"
+#include "redwinggw/session/handover.hpp"
+#include "redwinggw/session/session_core.hpp"
+
+#include <boost/asio/io_context.hpp>
+#include <boost/asio/steady_timer.hpp>
+
+#include <map>
+#include <memory>
+#include <optional>
+#include <random>
+#include <set>
+#include <string>
+
+/// State and services of one instance that runs on the users' platform, and the
+/// functions that work on them.
+namespace redwinggw {
+
+struct platform_instance_state
+    : std::enable_shared_from_this<platform_instance_state> {
+  platform_instance_state(boost::asio::io_context &Context, settings Settings);
+
+  boost::asio::io_context &Context;
+  settings Settings;
+  /// Writes and reads the rows that the instances keep for themselves.
+  storage::store Store;
+  /// Reads whole tables of the platform's store.
+  platform::store_client StoreReader;
+  session::route_table_ptr Routes;
+  /// The text from which Routes was parsed, for instances that cannot read the
+  /// store.
+  session::stored_configuration Stored;
+  /// When this instance learned that another one has a newer configuration.
+  std::optional<base::instant> BehindSince;
+  session::endpoint_set Endpoints;
+  session::session_core Core;
+  platform::caller_listener Callers;
+  http::server Readiness;
+  http::server Metrics;
+  /// Requests promotions of endpoints.
+  platform::store_client Promotions;
+  /// Null until the fleet's secret is known.
+  std::unique_ptr<control::peer_service> Peers;
+  /// Runs statements that other instances forward to this one, and forwards its
+  /// own ones to the owners of endpoints; null until the fleet's secret is
+  /// known.
+  std::unique_ptr<session::forwarding_server> ForwardingServer;
+  std::unique_ptr<session::forwarding_client> ForwardingClient;
+  /// The instance that owns the connections to each endpoint, as computed here.
+  std::map<base::endpoint_name, base::instance_name, std::less<>> Owners;
+  /// The instances among which Owners was last divided.
+  std::vector<session::owner_candidate> OwnerCandidates;
+  control::demand_shares Shares;
+  control::token_transfers Transfers;
+  /// Operations that wait for another instance's answer about tokens.
+  session::wait_list TokenWaits;
+  /// Answers of bucket owners by request number; empty while a request is
+  /// unanswered.
+  std::map<std::uint64_t, std::optional<control::bucket_owner_answer>>
+      BucketOwnerAnswers;
+  session::primary_claims Claims;
+  session::handover_limits Handover;
+  /// Services whose primary this instance is replacing.
+  std::set<base::service_name> Moving;
+  /// Primaries that are missing from the endpoint list, and since when.
+  std::map<base::endpoint_name, base::instant> MissingPrimaries;
+  /// Since when the orderer of each service's unfinished move is not alive.
+  std::map<base::service_name, base::instant> OrdererUnreachableSince;
+  /// Services with a promotion order that the platform has not answered yet.
+  std::set<base::service_name> PromotionsInFlight;
+  /// When the last promotion order was answered or timed out.
+  base::instant LastPromotionEndedAt = base::instant::min();
+  /// Endpoints with a status probe under way.
+  std::set<base::endpoint_name> Probing;
+  /// Versions of the instances' rows, by which the rows of dead ones are
+  /// removed.
+  std::map<base::instance_name, std::uint64_t> InstanceRowVersions;
+  /// The newest endpoint list, read from the store or received from the store
+  /// reader.
+  std::vector<session::endpoint_entry> EndpointList;
+  std::optional<base::instant> EndpointListAt;
+  /// The list that this instance last sent to the others in full.
+  std::vector<session::endpoint_entry> SentEndpointList;
+  std::optional<base::instant> SentEndpointListAt;
+  std::optional<base::instant> FleetReadAt;
+  std::optional<base::instant> OutOfContactSince;
+  control::config_freshness Freshness = control::config_freshness::Isolated;
+  /// Whether the last request to the store was answered.
+  bool StoreUp = true;
+  bool FleetReadRequested = false;
+  kernel::life_cycle Life;
+  std::mt19937_64 Random;
+  bool Listening = false;
+  /// Set by the first stop signal: the instance is not ready any more and takes
+  /// on no new duties.
+  bool Draining = false;
+  /// Ends all loops.
+  bool Stopped = false;
+};
+
+/// Key of the row that names the instance which may order promotions. It is in
+/// the same table as the other rows that instances keep.
+constexpr std::string_view OrdererKey = "orderer/promotion";
+
+/// \name Reading the store
+/// @{
+/// A read fails when nothing arrives for this long. There is no limit on its
+/// whole duration, which depends on its size and on the link.
+constexpr base::milliseconds ReadIdleTimeout{1000};
+/// Largest shared read that fits a datagram.
+constexpr std::size_t MaxSharedReadBytes = 60'000;
+constexpr base::instant LongAgo{-std::chrono::hours(1)};
+/// How often to check whether heartbeats have reported a change.
+constexpr base::milliseconds UpdateCheckInterval{100};
+/// Delay after a failed request. It keeps the whole fleet far below the store's
+/// rate limits also when the store rejects every request.
+constexpr base::milliseconds RetryDelay{250};
+/// @}
+
+using platform_instance_ptr = std::shared_ptr<platform_instance_state>;
+
+/// Whether this instance has been unable to use primaries for CutOffAfter.
+bool isCutOff(const platform_instance_state &State);
+/// Whether the balancer may send callers to this instance.
+bool isReady(const platform_instance_state &State);
+
+/// \name Loops, each run as a coroutine until the instance stops
+/// @{
+/// Creates or reads the fleet's secret, registers this instance, and starts the
+/// services that need both; then runs followFleet.
+base::task<void> joinFleet(platform_instance_ptr State);
+/// Reads the rows of the fleet repeatedly and removes those of dead instances.
+base::task<void> followFleet(platform_instance_ptr State);
+/// Keeps the operators' configuration up to date, from the store or from
+/// another instance.
+base::task<void> followConfiguration(platform_instance_ptr State);
+/// Keeps the endpoint list up to date, and sends it to the other instances when
+/// this one is the store reader.
+base::task<void> followEndpoints(platform_instance_ptr State);
+/// Probes primaries that may have failed, and replaces those that failed or
+/// leave.
+base::task<void> monitorPrimaries(platform_instance_ptr State);
+/// Checks the contact with the fleet, opens the callers' address, divides
+/// connections and closes unused ones.
+base::task<void> runPlatformHousekeeping(platform_instance_ptr State);
+/// @}
+
+/// \name Status of endpoints
+/// @{
+/// Asks an endpoint for its status over a new connection; fails after \p Time.
+base::task<session::status_exchange> askStatus(platform_instance_state &State,
+                                               session::endpoint_entry Entry,
+                                               base::milliseconds Time);
+/// Probes a primary when statements at it failed or remain unanswered.
+void probeIfInDoubt(platform_instance_ptr State,
+                    const base::endpoint_name &Name);
+/// @}
+
+/// \name Heartbeats
+/// @{
+/// Registers the handlers of heartbeats with the peer service.
+void connectPeers(platform_instance_state &State);
+/// Puts the known claims of primaries into the heartbeats from now on.
+void announceClaims(platform_instance_state &State);
+/// Whether this instance is the store reader, which reads the store for the
+/// others: the first in rank of those that are alive and had an answer of the
+/// store lately.
+bool isStoreReader(const platform_instance_state &State);
+/// Whether another instance that is alive reads the store for this one.
+bool hasStoreReader(const platform_instance_state &State);
+/// The highest row version of the configuration that another instance reports.
+std::uint64_t newestConfigurationRow(const platform_instance_state &State);
+/// How many instances suspect the primary of \p Service, this one included.
+std::size_t countSuspects(const platform_instance_state &State,
+                          std::string_view Service);
+/// @}
+
+/// \name Use of primaries
+/// @{
+/// Whether this instance's knowledge of the fleet is so fresh that it would
+/// have learned of a promotion by now.
+bool isInContactWithFleet(platform_instance_state &State);
+/// Records whether a request to the store was answered, and logs a change.
+void noteStoreResult(platform_instance_state &State, bool Answered,
+                     std::string_view Reason);
+/// The lease under which this instance may use the primary of \p Service;
+/// nothing while the primary is being replaced or the contact with the fleet is
+/// lost.
+std::optional<session::primary_lease>
+primaryLeaseFor(platform_instance_state &State, std::string_view Service);
+/// The primary of \p Service by the newest claim, or by the endpoint list where
+/// there is no claim; empty when there is none.
+base::endpoint_name primaryOf(const platform_instance_state &State,
+                              std::string_view Service);
+/// How long the running move of the primary of \p Service is expected to take
+/// from now; nothing when none runs or when it takes too long.
+std::optional<base::milliseconds>
+primaryExpected(const platform_instance_state &State, std::string_view Service);
+/// Applies a claim; false when it is not newer than the known one, or when a
+/// promotion order for the service is unanswered.
+bool acceptClaim(platform_instance_state &State,
+                 const session::primary_claim &Claim);
+/// Whether this instance suspects that the primary of \p Service has failed.
+bool suspects(const platform_instance_state &State, std::string_view Service);
+/// @}
+
+/// Applies what the store reader has read and sent to this instance.
+void acceptSharedRead(platform_instance_state &State,
+                      const wire::shared_store_read &Reading);
+/// Reads the rows of the fleet and applies them. Nothing when the store did not
+/// answer.
+base::task<std::optional<platform::table_rows>>
+readFleet(platform_instance_state &State);
+
+/// Removes this instance's row, so that it does not count for majorities and
+/// shares any more.
+base::task<void> removeInstance(platform_instance_state &State);
+
+/// \name Customers' rates
+/// @{
+/// Admits an operation by the customer's rate, with tokens of another instance
+/// when the local ones do not suffice.
+base::task<session::admission> admitOperation(platform_instance_state &State,
+                                              std::string Customer,
+                                              unsigned Priority,
+                                              base::microseconds Patience);
+/// Registers the handler of messages about tokens with the peer service.
+void connectTokenTransfers(platform_instance_state &State);
+/// @}
+
+/// \name Connections to endpoints
+/// @{
+/// Starts to run statements that other instances forward, and to forward own
+/// ones.
+void startForwarding(platform_instance_state &State, const std::string &Secret);
+/// Recomputes which instance owns each endpoint's connections, and how many
+/// this instance may hold.
+void divideConnections(platform_instance_state &State);
+/// A link to an endpoint through the instance that owns its connections; null
+/// when this instance is the owner or the owner cannot be used now.
+std::unique_ptr<session::forwarding_link>
+forwardingLinkTo(platform_instance_state &State,
+                 const session::endpoint_entry &Entry,
+                 std::string_view Customer, unsigned Priority);
+/// @}
+
+/// The ports of the session core.
+session::core_ports sessionCorePorts(platform_instance_state &State);
+
+/// Waits for \p Time plus or minus up to a tenth, so that instances that were
+/// started together do not act at the same time.
+base::task<void> pauseWithJitter(platform_instance_state &State,
+                                 base::milliseconds Time);
+
+} // namespace redwinggw
--- a/packages/redwinggw/src/native_rights.cpp
+++ b/packages/redwinggw/src/platform_primaries.cpp
@@ -1,33 +1,36 @@
-#include "native_state.hpp"
+#include "platform_instance_state.hpp"
 
 #include "redwinggw/base/log.hpp"
 
-/// The right to use endpoints as primaries.
+/// Which endpoint is each service's primary, and whether this instance may use
+/// it.
 namespace redwinggw {
 namespace {
 
 using base::milliseconds;
 
-/// From the claim to a new primary that serves: the acknowledgements, and the
-/// platform's promotion of up to a second.
-constexpr milliseconds MoveTakes{1300};
+/// Time from a claim until the new primary serves: the acknowledgements, and
+/// the platform's promotion of up to a second.
+constexpr milliseconds ExpectedMoveTime{1300};
 
 } // namespace
 
-bool isInTouch(native_state &State) {
+bool isInContactWithFleet(platform_instance_state &State) {
   if (!State.Peers)
     return false;
-  const control::currency Now = State.Peers->judgeCurrency(base::now());
-  if (Now != State.Currency)
+  const control::config_freshness Now =
+      State.Peers->configFreshness(base::now());
+  if (Now != State.Freshness)
     base::logEvent(base::log_level::Info, base::log_part::Peers, "in_touch",
-                   {{"was", std::string(currencyName(State.Currency))},
-                    {"is", std::string(currencyName(Now))},
+                   {{"was", std::string(configFreshnessName(State.Freshness))},
+                    {"is", std::string(configFreshnessName(Now))},
                     {"claims", std::to_string(State.Claims.Version)}});
-  State.Currency = Now;
-  return Now != control::currency::Isolated;
+  State.Freshness = Now;
+  return Now != control::config_freshness::Isolated;
 }
 
-void noteStore(native_state &State, bool Answered, std::string_view Reason) {
+void noteStoreResult(platform_instance_state &State, bool Answered,
+                     std::string_view Reason) {
   if (Answered == State.StoreUp)
     return;
   State.StoreUp = Answered;
@@ -37,7 +40,7 @@
                  {{"reason", std::string(Reason)}});
 }
 
-base::endpoint_name primaryOf(const native_state &State,
+base::endpoint_name primaryOf(const platform_instance_state &State,
                               std::string_view Service) {
   if (const auto *Known = findClaim(State.Claims, Service))
     return Known->Claim.Primary;
@@ -48,42 +51,45 @@
   return {};
 }
 
-std::optional<session::primary_right> rightTo(native_state &State,
-                                              std::string_view Service) {
+std::optional<session::primary_lease>
+primaryLeaseFor(platform_instance_state &State, std::string_view Service) {
   const auto *Known = findClaim(State.Claims, Service);
   if (Known != nullptr && Known->Claim.Moving)
     return std::nullopt;
   base::endpoint_name Primary = primaryOf(State, Service);
-  if (Primary.empty() || !isInTouch(State))
+  if (Primary.empty() || !isInContactWithFleet(State))
     return std::nullopt;
-  return session::primary_right{std::string(Service), std::move(Primary),
+  return session::primary_lease{std::string(Service), std::move(Primary),
                                 Known == nullptr ? 0 : Known->Claim.Epoch};
 }
 
-std::optional<milliseconds> primaryExpected(const native_state &State,
-                                            std::string_view Service) {
+std::optional<milliseconds>
+primaryExpected(const platform_instance_state &State,
+                std::string_view Service) {
   const auto *Known = findClaim(State.Claims, Service);
   if (Known == nullptr || !Known->Claim.Moving)
     return std::nullopt;
   const auto Elapsed =
       std::chrono::duration_cast<milliseconds>(base::now() - Known->Since);
-  // One that takes longer is stuck, and nobody knows for how long.
-  constexpr milliseconds Stuck = 2 * MoveTakes;
+  // A move that takes longer is stuck, for an unknown time.
+  constexpr milliseconds Stuck = 2 * ExpectedMoveTime;
   if (Elapsed > Stuck)
     return std::nullopt;
-  constexpr milliseconds Least{100};
-  return std::max(Least, MoveTakes - Elapsed);
+  constexpr milliseconds Min{100};
+  return std::max(Min, ExpectedMoveTime - Elapsed);
 }
 
-bool takeClaim(native_state &State, const session::primary_claim &Claim) {
-  // To know a later claim is to acknowledge it, after which its orderer may
-  // order too. An earlier order of ours that is still on its way would then
-  // come after that one, so it has to end first; the claim is told again.
-  if (State.Ordering.contains(Claim.Service))
+bool acceptClaim(platform_instance_state &State,
+                 const session::primary_claim &Claim) {
+  // Knowing a later claim acknowledges it, after which its orderer may order a
+  // promotion. An unanswered earlier order of this instance could then take
+  // effect after that one, so it has to end first. The claim arrives again with
+  // later heartbeats.
+  if (State.PromotionsInFlight.contains(Claim.Service))
     return false;
   if (!applyClaim(State.Claims, Claim, base::now()))
     return false;
-  tellClaims(State);
+  announceClaims(State);
   base::logEvent(base::log_level::Info, base::log_part::Failover,
                  Claim.Moving ? "primary_given_up" : "primary_agreed",
                  {{"service", Claim.Service},
@@ -94,7 +100,7 @@
   return true;
 }
 
-bool suspects(const native_state &State, std::string_view Service) {
+bool suspects(const platform_instance_state &State, std::string_view Service) {
   const auto Pool = State.Endpoints.Pools.find(primaryOf(State, Service));
   return Pool != State.Endpoints.Pools.end() &&
          isSuspect(Pool->second->health(), State.Handover, base::now());
--- a/packages/redwinggw/src/native_probing.cpp
+++ b/packages/redwinggw/src/platform_probing.cpp
@@ -1,9 +1,9 @@
-#include "native_state.hpp"
+#include "platform_instance_state.hpp"
 
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
 
-/// Asks endpoints for their state over fresh connections.
+/// Status probes of endpoints over new connections.
 namespace redwinggw {
 namespace {
 
@@ -11,19 +11,21 @@
 using base::instant;
 using base::milliseconds;
 
-/// A statement without an answer for so long makes a probe worth its slot.
+/// A statement that is unanswered for this long justifies the slot that a probe
+/// takes.
 constexpr milliseconds ProbeAfter{250};
-/// Set-up and answer of a probe; a busy endpoint answers within this time.
-constexpr milliseconds ProbeTime{450};
-/// The name under which the system itself connects.
+/// Time for the connection and the answer of a probe; a busy endpoint answers
+/// within it.
+constexpr milliseconds ProbeTimeout{450};
+/// The customer name that the instance itself connects with.
 constexpr std::string_view OwnCustomer = "-";
 
-base::task<void> probe(native_ptr State, base::endpoint_name Name) {
+base::task<void> probe(platform_instance_ptr State, base::endpoint_name Name) {
   const auto *Entry = findEndpoint(State->Endpoints.Directory, Name);
   if (Entry != nullptr) {
     const instant Sent = base::now();
     const session::endpoint_entry Copy = *Entry;
-    const auto Status = co_await askStatus(*State, Copy, ProbeTime);
+    const auto Status = co_await askStatus(*State, Copy, ProbeTimeout);
     const bool Up = Status.Outcome == session::exchange_outcome::Answered &&
                     (!Status.Error ||
                      Status.Error->Code != session::answer_code::Misrouted);
@@ -39,7 +41,7 @@
 
 } // namespace
 
-base::task<session::status_exchange> askStatus(native_state &State,
+base::task<session::status_exchange> askStatus(platform_instance_state &State,
                                                session::endpoint_entry Entry,
                                                milliseconds Time) {
   const auto Link = State.Endpoints.Factory();
@@ -54,7 +56,8 @@
   co_return co_await Link->command(session::status_command::Ask, 0, Deadline);
 }
 
-void probeIfInDoubt(native_ptr State, const base::endpoint_name &Name) {
+void probeIfInDoubt(platform_instance_ptr State,
+                    const base::endpoint_name &Name) {
   const auto Pool = poolOf(State->Endpoints, Name);
   if (!Pool || State->Probing.contains(Name))
     return;
--- a/packages/redwinggw/src/wiring.cpp
+++ b/packages/redwinggw/src/wiring.cpp
@@ -10,14 +10,16 @@
 
 using base::event_kind;
 
-/// A service of the registry; throws what \p Start reports as a failure.
+/// An entry of the registry for \p Served. \p Start reports a failure by an
+/// exception.
 template <typename Object>
-kernel::service makeService(std::string Name, std::vector<std::string> Needs,
+kernel::service makeService(std::string Name,
+                            std::vector<std::string> Dependencies,
                             Object &Served, std::function<void()> Start,
                             std::function<void()> Drain) {
   kernel::service Service;
   Service.Name = std::move(Name);
-  Service.Needs = std::move(Needs);
+  Service.Dependencies = std::move(Dependencies);
   Service.Start = std::move(Start);
   Service.Drain = std::move(Drain);
   Service.Object = &Served;
@@ -36,10 +38,10 @@
     return State.Configuration.inForce();
   };
   Ports.MayServe = [&State] {
-    // Judged for each request: a process that was paused may answer callers
+    // Checked for each request: a process that was paused may answer callers
     // before its own timers run, with keys that were withdrawn meanwhile.
-    // Without a sheet there is nobody to serve.
-    return judgeCurrency(State) != control::currency::Isolated &&
+    // Without a sheet there are no customers.
+    return judgeFreshness(State) != control::config_freshness::Isolated &&
            State.Configuration.inForce().Version > 0;
   };
   Ports.Admit = [&State](base::customer_name Customer, base::instant Deadline) {
@@ -64,9 +66,9 @@
     State.Groups.noteTraffic(Group, Endpoint, Answered, At);
   };
   Ports.NoteState = [&State](std::string_view Group,
-                             const data::endpoint_state &Told,
+                             const data::endpoint_state &Reported,
                              base::instant AskedAt) {
-    State.Groups.noteState(Group, Told, AskedAt);
+    State.Groups.noteState(Group, Reported, AskedAt);
   };
   Ports.Record = [&State](base::event_kind Kind, std::string_view Subject,
                           std::string_view Detail, std::string_view RequestId) {
@@ -88,7 +90,8 @@
   return Clock;
 }
 
-/// What the others say about the groups, in the form of the detector.
+/// The other instances' reports about the groups, as the failure detector takes
+/// them.
 std::vector<data::peer_report> reportsOf(const instance_state &State) {
   std::vector<data::peer_report> Reports;
   const base::instant Now = base::now();
@@ -117,7 +120,7 @@
   return Reports;
 }
 
-/// The other instances that are up, with the version at each.
+/// The other instances that are alive, with the configuration version at each.
 std::vector<control::instance_version>
 versionsOf(const control::peer_service &Peers) {
   std::vector<control::instance_version> Versions;
@@ -130,7 +133,9 @@
 control::configuration_ports configurationPorts(instance_state &State) {
   control::peer_service &Peers = State.Peers;
   control::configuration_ports Ports;
-  Ports.MayAccept = [&Peers] { return Peers.hearsMajority(base::now()); };
+  Ports.MayAccept = [&Peers] {
+    return Peers.inContactWithMajority(base::now());
+  };
   Ports.MajorityKnows = [&Peers](base::config_version Version) {
     return Peers.majorityKnows(Version);
   };
@@ -168,19 +173,19 @@
                 " is in force.");
 }
 
-control::currency judgeCurrency(instance_state &State) {
-  const control::currency Before = State.Currency;
-  State.Currency = State.Peers.judgeCurrency(base::now());
-  if (State.Currency == Before)
-    return State.Currency;
-  const std::string Name(control::currencyName(State.Currency));
+control::config_freshness judgeFreshness(instance_state &State) {
+  const control::config_freshness Before = State.Freshness;
+  State.Freshness = State.Peers.configFreshness(base::now());
+  if (State.Freshness == Before)
+    return State.Freshness;
+  const std::string Name(control::configFreshnessName(State.Freshness));
   recordEvent(State, event_kind::ConfigurationStale, Name);
   base::log(base::log_level::Info, base::log_part::Configuration,
-            "Currency is " + Name + ".");
-  return State.Currency;
+            "Configuration freshness is " + Name + ".");
+  return State.Freshness;
 }
 
-void tellSuspicions(instance_state &State) {
+void announceSuspicions(instance_state &State) {
   State.Peers.setGroupReports(ownReports(State));
 }
 
@@ -200,7 +205,7 @@
   });
   State.Peers.onReport([&State](const control::member &Member) {
     State.Configuration.noteVersionSeen(Member.Report.HeadVersion);
-    tellSuspicions(State);
+    announceSuspicions(State);
   });
 }
 
--- a/packages/redwinggwctl/src/commands.hpp
+++ b/packages/redwinggwctl/src/commands.hpp
@@ -2,7 +2,7 @@
 
 #include "redwinggw/ctl/tool.hpp"
 
-#include "tool_asking.hpp"
+#include "tool_requests.hpp"
 
 #include <iosfwd>
 #include <string_view>
@@ -10,32 +10,30 @@
 /// The commands of redwinggwctl.
 namespace redwinggw::ctl {
 
-/// What a command works with.
+/// What a command gets to run.
 struct command_context {
-  asker Asker;
+  tool_client Client;
   const tool_options &Options;
-  /// The words after the command.
+  /// The arguments after the command's name.
   std::vector<std::string> Operands;
   std::ostream &Out;
   std::ostream &Err;
 };
 
-/// One command.
 struct command {
-  /// One or two words.
+  /// One or two words, as typed.
   std::string_view Name;
-  /// Names of operands for the help; those in brackets may be left out.
+  /// Names of the operands for --help; those in brackets are optional.
   std::string_view Operands;
-  std::size_t LeastOperands;
-  std::size_t MostOperands;
+  std::size_t MinOperands;
+  std::size_t MaxOperands;
   std::string_view Help;
   exit_code (*Run)(command_context &);
 };
 
-/// All commands.
 const std::vector<command> &commands();
 
-/// Says what went wrong and what to do; the exit code that goes with it.
+/// Prints the error and its remedy. Returns the exit code of that error.
 exit_code report(const command_context &Context, const base::failure &Failure);
 
 exit_code checkSheet(command_context &Context);
--- a/packages/redwinggwctl/src/fleet_commands.cpp
+++ b/packages/redwinggwctl/src/fleet_commands.cpp
@@ -28,7 +28,7 @@
   });
 }
 
-/// Why nobody answered.
+/// The error to report when no instance answered.
 failure firstFailure(const std::vector<instance_answer> &Answers) {
   if (Answers.empty())
     return {errc::BadSettings,
@@ -103,7 +103,7 @@
 } // namespace
 
 exit_code showStatus(command_context &Context) {
-  const auto Answers = askAll(Context.Asker, "/operators/status");
+  const auto Answers = requestAll(Context.Client, "/operators/status");
   if (!anyAnswered(Answers))
     return report(Context, firstFailure(Answers));
   if (Context.Options.Json) {
@@ -123,7 +123,7 @@
 }
 
 exit_code showTimeline(command_context &Context) {
-  const auto Answers = askAll(Context.Asker, "/operators/timeline");
+  const auto Answers = requestAll(Context.Client, "/operators/timeline");
   if (!anyAnswered(Answers))
     return report(Context, firstFailure(Answers));
   auto Events = base::mergeTimelines(linesOf(Context, Answers));
@@ -142,7 +142,7 @@
 }
 
 exit_code showMetrics(command_context &Context) {
-  const auto Text = fetchMetrics(Context.Asker);
+  const auto Text = fetchMetrics(Context.Client);
   if (!Text)
     return report(Context, Text.error());
   Context.Out << *Text;
@@ -150,21 +150,21 @@
 }
 
 exit_code drainInstance(command_context &Context) {
-  // Guards against a whole fleet that is stopped by a list of addresses meant
-  // for another command.
+  // Prevents a list of addresses that was meant for another command from
+  // stopping a whole fleet.
   if (Context.Options.Operators.size() != 1)
     return report(Context,
                   failure(errc::BadSettings,
                           "drain stops one instance; name exactly one address "
                           "with --operators"));
   const auto Answer =
-      ask(Context.Asker, "/operators/drain", {}, effect::Changes);
+      requestAny(Context.Client, "/operators/drain", {}, effect::Changes);
   if (!Answer)
     return report(Context, Answer.error());
   if (Context.Options.Json)
     Context.Out << *Answer << "\n";
   else
-    Context.Out << "The instance finishes its work and stops.\n";
+    Context.Out << "The instance finishes its running work and stops.\n";
   return exit_code::Ok;
 }
 
--- a/packages/redwinggwctl/src/sheet_commands.cpp
+++ b/packages/redwinggwctl/src/sheet_commands.cpp
@@ -31,13 +31,14 @@
   return List;
 }
 
-/// The sheet of the first operand, when it has no faults; otherwise prints
-/// them. Nothing is sent: an instance would find the same.
-result<std::string> goodSheet(command_context &Context) {
+/// Reads the sheet that the first operand names. Fails and prints the faults
+/// when it is invalid, without a request: an instance would find the same
+/// faults.
+result<std::string> readValidSheet(command_context &Context) {
   auto Text = readFile(Context.Operands.front());
   if (!Text)
     return Text;
-  const auto Reading = control::readSheet(*Text);
+  const auto Reading = control::parseSheet(*Text);
   if (Reading.Faults.empty())
     return Text;
   const json::array Faults = faultsOf(Reading.Faults);
@@ -49,7 +50,7 @@
                                      " faults; nothing was changed");
 }
 
-/// Prints \p Answer as JSON when that was asked for.
+/// Prints \p Answer when JSON output was requested. True when it was.
 bool printedAsJson(const command_context &Context, const json::object &Answer) {
   if (Context.Options.Json)
     Context.Out << Answer << "\n";
@@ -72,14 +73,13 @@
               << " version " << numberIn(Answer, "version") << "; in force at "
               << numberIn(Answer, "in_force_at") << " of "
               << numberIn(Answer, "instances")
-              << " instances that are heard.\n";
+              << " instances that are in contact.\n";
   if (!flagIn(Answer, "confirmed"))
-    Context.Err << "A majority of the instances has not told yet that it knows "
-                   "this version; look at `redwinggwctl status` until all have "
-                   "it.\n";
+    Context.Err << "A majority of the instances has not yet confirmed this "
+                   "version; check `redwinggwctl status` until all have it.\n";
 }
 
-/// A whole number in the operand, when there is one.
+/// A request body with the optional operand, a whole number, as member \p Name.
 result<json::object> withNumber(const command_context &Context,
                                 std::string_view Name) {
   json::object Body;
@@ -96,7 +96,7 @@
   return Body;
 }
 
-/// Year-month-day hour:minute:second UTC, for people.
+/// Formats a time as "year-month-day hour:minute:second UTC".
 std::string timeText(std::int64_t WallMilliseconds) {
   constexpr std::int64_t PerSecond = 1000;
   const auto Seconds = static_cast<std::time_t>(WallMilliseconds / PerSecond);
@@ -110,7 +110,7 @@
 } // namespace
 
 exit_code checkSheet(command_context &Context) {
-  const auto Sheet = goodSheet(Context);
+  const auto Sheet = readValidSheet(Context);
   if (!Sheet)
     return report(Context, Sheet.error());
   if (!printedAsJson(Context, {{"ok", true}, {"faults", json::array()}}))
@@ -119,11 +119,11 @@
 }
 
 exit_code diffSheet(command_context &Context) {
-  const auto Sheet = goodSheet(Context);
+  const auto Sheet = readValidSheet(Context);
   if (!Sheet)
     return report(Context, Sheet.error());
-  const auto Answer = ask(Context.Asker, "/operators/sheet/diff",
-                          {{"sheet", *Sheet}}, effect::ReadOnly);
+  const auto Answer = requestAny(Context.Client, "/operators/sheet/diff",
+                                 {{"sheet", *Sheet}}, effect::ReadOnly);
   if (!Answer)
     return report(Context, Answer.error());
   if (printedAsJson(Context, *Answer))
@@ -141,11 +141,11 @@
 }
 
 exit_code submitSheet(command_context &Context) {
-  const auto Sheet = goodSheet(Context);
+  const auto Sheet = readValidSheet(Context);
   if (!Sheet)
     return report(Context, Sheet.error());
-  const auto Answer = ask(Context.Asker, "/operators/sheet/submit",
-                          {{"sheet", *Sheet}}, effect::Changes);
+  const auto Answer = requestAny(Context.Client, "/operators/sheet/submit",
+                                 {{"sheet", *Sheet}}, effect::Changes);
   if (!Answer)
     return report(Context, Answer.error());
   if (!printedAsJson(Context, *Answer))
@@ -157,8 +157,8 @@
   const auto Body = withNumber(Context, "version");
   if (!Body)
     return report(Context, Body.error());
-  const auto Answer =
-      ask(Context.Asker, "/operators/sheet/show", *Body, effect::ReadOnly);
+  const auto Answer = requestAny(Context.Client, "/operators/sheet/show", *Body,
+                                 effect::ReadOnly);
   if (!Answer)
     return report(Context, Answer.error());
   const json::value *Sheet = Answer->if_contains("sheet");
@@ -171,8 +171,8 @@
   const auto Body = withNumber(Context, "count");
   if (!Body)
     return report(Context, Body.error());
-  const auto Answer =
-      ask(Context.Asker, "/operators/sheet/history", *Body, effect::ReadOnly);
+  const auto Answer = requestAny(Context.Client, "/operators/sheet/history",
+                                 *Body, effect::ReadOnly);
   if (!Answer)
     return report(Context, Answer.error());
   if (printedAsJson(Context, *Answer))
@@ -187,8 +187,8 @@
 
 exit_code giveKey(command_context &Context) {
   const auto Answer =
-      ask(Context.Asker, "/operators/key/give",
-          {{"customer", Context.Operands.front()}}, effect::Changes);
+      requestAny(Context.Client, "/operators/key/give",
+                 {{"customer", Context.Operands.front()}}, effect::Changes);
   if (!Answer)
     return report(Context, Answer.error());
   if (printedAsJson(Context, *Answer))
@@ -201,8 +201,9 @@
 }
 
 exit_code withdrawKey(command_context &Context) {
-  const auto Answer = ask(Context.Asker, "/operators/key/withdraw",
-                          {{"id", Context.Operands.front()}}, effect::Changes);
+  const auto Answer =
+      requestAny(Context.Client, "/operators/key/withdraw",
+                 {{"id", Context.Operands.front()}}, effect::Changes);
   if (!Answer)
     return report(Context, Answer.error());
   if (!printedAsJson(Context, *Answer))
@@ -212,7 +213,7 @@
 
 exit_code listCustomers(command_context &Context) {
   const auto Answer =
-      ask(Context.Asker, "/operators/customers", {}, effect::ReadOnly);
+      requestAny(Context.Client, "/operators/customers", {}, effect::ReadOnly);
   if (!Answer)
     return report(Context, Answer.error());
   if (!printedAsJson(Context, *Answer))
@@ -222,7 +223,7 @@
 
 exit_code showCustomer(command_context &Context) {
   const auto Answer =
-      ask(Context.Asker, "/operators/customers", {}, effect::ReadOnly);
+      requestAny(Context.Client, "/operators/customers", {}, effect::ReadOnly);
   if (!Answer)
     return report(Context, Answer.error());
   for (const json::value &Customer : Answer->at("customers").as_array()) {
--- a/packages/session/include/redwinggw/session/leased_link.hpp
+++ b/packages/session/include/redwinggw/session/leased_link.hpp
@@ -1,13 +1,13 @@
 #pragma once
 
-#include "redwinggw/session/slot_pass.hpp"
+#include "redwinggw/session/slot_grant.hpp"
 
 #include <utility>
 
 namespace redwinggw::session {
 
-/// A connection taken out of its pool. One that is not given back explicitly
-/// is closed: its state is not known.
+/// A connection checked out of its pool. One that is not released explicitly
+/// is closed, since its state is not known.
 struct leased_link {
   leased_link() = default;
   leased_link(pool_ptr Pool, link_handle Link)
@@ -16,7 +16,7 @@
   leased_link &operator=(leased_link &&Other) noexcept {
     std::swap(Pool, Other.Pool);
     std::swap(Link, Other.Link);
-    std::swap(Pass, Other.Pass);
+    std::swap(Grant, Other.Grant);
     return *this;
   }
   ~leased_link() {
@@ -24,14 +24,14 @@
       Pool->discard(std::move(Link));
   }
 
-  void giveBack() { Pool->giveBack(std::move(Link)); }
+  void release() { Pool->release(std::move(Link)); }
   explicit operator bool() const { return Link != nullptr; }
 
   pool_ptr Pool;
   link_handle Link;
-  /// Held while a statement runs; a transaction gives it up between its
-  /// statements.
-  slot_pass Pass;
+  /// The slot, held while a statement runs; a transaction releases it between
+  /// its statements.
+  slot_grant Grant;
 };
 
 } // namespace redwinggw::session
--- a/packages/session/src/endpoint_pool.cpp
+++ b/packages/session/src/endpoint_pool.cpp
@@ -14,21 +14,22 @@
 /// Weight of the newest statement in the smoothed latency: about the last ten
 /// count.
 constexpr double LatencyWeight = 0.1;
-/// Callers that wait for a connection here, at most; beyond it the wait would
-/// outlast every statement's time.
+/// Most callers that may wait for a connection; with more, the wait would
+/// exceed every statement's timeout.
 constexpr std::size_t LongestQueue = 400;
 
-/// What the owner said of its load counts for about as long as a few
-/// statements take; then what is known here is the better guess.
-constexpr milliseconds OwnerLoadCounts{150};
+/// A load that the owner reported is used for about as long as a few statements
+/// take; after that, what is known here is the better estimate.
+constexpr milliseconds OwnerLoadValidFor{150};
 
-/// Statements sent beyond the endpoint's slots: the next one is there when a
-/// slot gets free, and not a round trip later.
-constexpr unsigned SentAhead = 1;
-/// An endpoint that left all without an answer for so long, and for so many
-/// times of a usual statement, takes no more statements that would wait.
+/// Statements sent beyond the endpoint's slots, so that the next one is there
+/// when a slot gets free, and not a round trip later.
+constexpr unsigned ExtraInFlight = 1;
+/// An endpoint that has answered nothing for StalledAfter, and for
+/// StalledFactor times its usual latency, gets no more statements that would
+/// have to wait.
 constexpr milliseconds StalledAfter{250};
-constexpr double StalledTimes = 8;
+constexpr double StalledFactor = 8;
 
 acquire_failure failureOf(const exchange &Exchange) {
   if (Exchange.Outcome != exchange_outcome::Answered || !Exchange.Answer.Error)
@@ -47,7 +48,7 @@
                              endpoint_entry Entry)
     : Executor(std::move(Executor)), Watch(Watch), Factory(std::move(Factory)),
       Waiters(this->Executor, Watch) {
-  Queue.Settings.Total = LongestQueue;
+  Queue.Settings.MaxTotal = LongestQueue;
   setEntry(std::move(Entry));
 }
 
@@ -55,23 +56,23 @@
 
 void endpoint_pool::setEntry(endpoint_entry NewEntry) {
   Entry = std::move(NewEntry);
-  Slots.Width = Entry.Slots == 0 ? 0 : Entry.Slots + SentAhead;
+  Slots.MaxRunning = Entry.Slots == 0 ? 0 : Entry.Slots + ExtraInFlight;
 }
 
-/// Whether everything that runs there has been without an answer for long: a
-/// turn would not come, and the endpoint may be gone.
+/// Whether the endpoint has left everything that runs there without an answer
+/// for long: no slot would get free, and it may be gone.
 bool endpoint_pool::isStalled(instant Now) const {
   const auto Usual =
-      milliseconds(static_cast<std::int64_t>(StalledTimes * Health.Latency));
+      milliseconds(static_cast<std::int64_t>(StalledFactor * Health.Latency));
   const milliseconds Longest = std::max(StalledAfter, Usual);
   const instant Oldest = oldestUnanswered().value_or(Now);
   return Now - Oldest > Longest && Now - Health.LastSuccess > Longest;
 }
 
-base::task<bool> endpoint_pool::enter(slot_level Level,
-                                      base::customer_name Customer,
-                                      instant Until) {
-  if (startNow(Slots))
+base::task<bool> endpoint_pool::acquireSlot(slot_level Level,
+                                            base::customer_name Customer,
+                                            instant Until) {
+  if (tryStart(Slots))
     co_return true;
   const instant Now = base::now();
   if (isStalled(Now))
@@ -85,17 +86,17 @@
   co_return Started;
 }
 
-void endpoint_pool::leave(slot_level Level, std::string_view Customer,
-                          base::microseconds Busy) {
+void endpoint_pool::releaseSlot(slot_level Level, std::string_view Customer,
+                                base::microseconds Busy) {
   finish(Slots, Level, Customer, Busy);
-  startWaiting();
+  startQueued();
 }
 
-void endpoint_pool::startWaiting() {
+void endpoint_pool::startQueued() {
   while (const auto Ticket = startNext(Slots)) {
     if (Waiters.wake(Ticket->Id))
       continue;
-    // It has just given up.
+    // The coroutine has just given up waiting.
     --Slots.Running;
   }
 }
@@ -107,7 +108,8 @@
 
 link_handle endpoint_pool::takeIdle(std::string_view Customer,
                                     const session_values &Values) {
-  // The most recently used first: the others may then grow old and close.
+  // The most recently used first, so that the others reach their idle time and
+  // are closed.
   auto Best = Idle.end();
   for (auto At = Idle.begin(); At != Idle.end(); ++At) {
     if ((*At)->Customer != Customer)
@@ -137,15 +139,15 @@
 }
 
 bool endpoint_pool::mayOpen() const {
-  // Below the even part too: an endpoint still counts the connections of
-  // instances that died a moment ago. With a connection of its own at work,
-  // which is free soon, a statement does better to wait for that one.
+  // Also below the even share: an endpoint still counts the connections of
+  // instances that died a moment ago. If a connection of this instance is in
+  // use there, which is free soon, a statement does better to wait for it.
   if (Open < Limits.Connections)
     return Open == 0 || !wasRefused(Limits.FullPause);
-  return Open < Limits.MostConnections && !wasRefused(Limits.RefusedPause);
+  return Open < Limits.MaxConnections && !wasRefused(Limits.RefusedPause);
 }
 
-/// Closes the idle connection that was used longest ago.
+/// Closes the least recently used idle connection.
 bool endpoint_pool::evictOne() {
   if (Idle.empty())
     return false;
@@ -195,13 +197,14 @@
     const bool Fits = Open < Limits.Connections && mayOpen();
     if (Fits || evictOne() || mayOpen())
       co_return co_await connect(std::move(Customer), Deadline);
-    if (!co_await waitForTurn(Customer, WaitUntil))
+    if (!co_await waitForConnection(Customer, WaitUntil))
       co_return acquired{nullptr, acquire_failure::Exhausted};
   }
 }
 
-base::task<bool> endpoint_pool::waitForTurn(const base::customer_name &Customer,
-                                            instant Deadline) {
+base::task<bool>
+endpoint_pool::waitForConnection(const base::customer_name &Customer,
+                                 instant Deadline) {
   const data::queue_ticket Ticket{Waiters.nextNumber(), Customer, Deadline};
   const std::size_t Width = std::max<std::size_t>(1, Limits.Connections);
   if (!enqueue(Queue, Ticket, Width, base::now()).Queued)
@@ -220,18 +223,19 @@
       return;
 }
 
-link_handle endpoint_pool::lend(std::unique_ptr<relay_link> Relay,
-                                base::customer_name Customer) {
-  ++Relayed;
+link_handle
+endpoint_pool::wrapForwarding(std::unique_ptr<forwarding_link> Forwarding,
+                              base::customer_name Customer) {
+  ++Forwarded;
   auto Link = std::make_unique<pooled_link>();
-  Link->Relay = std::move(Relay);
+  Link->Forwarding = std::move(Forwarding);
   Link->Customer = std::move(Customer);
   return Link;
 }
 
-void endpoint_pool::giveBack(link_handle Link) {
-  if (Link->Relay) {
-    --Relayed;
+void endpoint_pool::release(link_handle Link) {
+  if (Link->Forwarding) {
+    --Forwarded;
     return;
   }
   Link->UsedAt = base::now();
@@ -240,8 +244,8 @@
 }
 
 void endpoint_pool::discard(link_handle Link) {
-  if (Link->Relay) {
-    --Relayed;
+  if (Link->Forwarding) {
+    --Forwarded;
     return;
   }
   Link.reset();
@@ -273,9 +277,9 @@
 }
 
 std::size_t endpoint_pool::load(instant Now) const {
-  const std::size_t Own = Slots.Running + waiting() + Relayed;
-  const bool Told = OwnerLoadAt && Now - *OwnerLoadAt < OwnerLoadCounts;
-  return Told ? std::max(Own, OwnerLoad) : Own;
+  const std::size_t LocalLoad = Slots.Running + waiting() + Forwarded;
+  const bool Reported = OwnerLoadAt && Now - *OwnerLoadAt < OwnerLoadValidFor;
+  return Reported ? std::max(LocalLoad, OwnerLoad) : LocalLoad;
 }
 
 void endpoint_pool::noteSuccess(instant SentAt, instant Now) {
--- a/packages/session/src/endpoint_set.cpp
+++ b/packages/session/src/endpoint_set.cpp
@@ -15,9 +15,9 @@
   Candidate.IsPrimary = IsPrimary;
   Candidate.SameZone = Entry.Zone == Zone;
   Candidate.Draining = Entry.Draining;
-  const bool Relayed = Pool.isOwnedElsewhere();
-  Candidate.HasIdle = Relayed || Pool.hasIdle(Customer);
-  Candidate.Exhausted = !Relayed && Pool.isExhausted();
+  const bool Forwarded = Pool.isOwnedElsewhere();
+  Candidate.HasIdle = Forwarded || Pool.hasIdle(Customer);
+  Candidate.Exhausted = !Forwarded && Pool.isExhausted();
   Candidate.Load = Pool.load(Now);
   Candidate.Slots = Entry.Slots;
   Candidate.LatencyMs = Health.Latency;
@@ -28,7 +28,7 @@
 
 void openPool(endpoint_set &Set, const base::endpoint_name &Name) {
   const endpoint_entry *Entry = findEndpoint(Set.Directory, Name);
-  // A former pool lives on while statements use its connections.
+  // A former pool stays alive while statements use its connections.
   Set.Pools[Name] = std::make_shared<endpoint_pool>(Set.Executor, Set.Watch,
                                                     Set.Factory, *Entry);
 }
@@ -40,10 +40,10 @@
     : Executor(Executor), Zone(std::move(Zone)), Factory(std::move(Factory)),
       Watch(Executor) {}
 
-directory_changes applyList(endpoint_set &Set,
-                            const std::vector<endpoint_entry> &Entries,
-                            base::instant Now) {
-  directory_changes Changes = onList(Set.Directory, Entries, Now);
+directory_changes updateEndpoints(endpoint_set &Set,
+                                  const std::vector<endpoint_entry> &Entries,
+                                  base::instant Now) {
+  directory_changes Changes = updateDirectory(Set.Directory, Entries, Now);
   for (const base::endpoint_name &Name : Changes.Gone)
     Set.Pools.erase(Name);
   for (const base::endpoint_name &Name : Changes.Started)
@@ -61,28 +61,29 @@
 
 std::vector<choice_candidate>
 readCandidates(endpoint_set &Set, std::string_view Service,
-               std::string_view Customer, const primary_right *Right,
+               std::string_view Customer, const primary_lease *PrimaryLease,
                const std::optional<required_point> &Required,
                base::instant Now) {
   std::vector<choice_candidate> Candidates;
   for (const auto &[Name, Known] : Set.Directory.Endpoints) {
-    const bool Serves =
-        Known.Entry.Service == Service && takesWork(Set.Directory, Known, Now);
+    const bool Serves = Known.Entry.Service == Service &&
+                        acceptsWork(Set.Directory, Known, Now);
     const pool_ptr Pool = Serves ? poolOf(Set, Name) : nullptr;
     if (Pool == nullptr)
       continue;
-    const bool IsPrimary = Right != nullptr && Right->Endpoint == Name;
+    const bool IsPrimary =
+        PrimaryLease != nullptr && PrimaryLease->Endpoint == Name;
     choice_candidate &Candidate = Candidates.emplace_back(
         candidateOf(*Pool, Customer, Set.Zone, IsPrimary, Now));
-    Candidate.Trails = !IsPrimary && Required &&
-                       probablyTrails(Pool->health().Lag, *Required, Now);
+    Candidate.ProbablyLags = !IsPrimary && Required &&
+                             probablyLags(Pool->health().Lag, *Required, Now);
   }
   return rank(std::move(Candidates), Set.Choice, Now);
 }
 
-void notePoint(endpoint_set &Set, const primary_right &Right,
+void notePoint(endpoint_set &Set, const primary_lease &PrimaryLease,
                base::instant SentAt, log_point Point) {
-  addSample(Set.Samples[Right.Service], {SentAt, Point}, base::now());
+  addSample(Set.Samples[PrimaryLease.Service], {SentAt, Point}, base::now());
 }
 
 } // namespace redwinggw::session
--- a/packages/session/src/link_setup.cpp
+++ b/packages/session/src/link_setup.cpp
@@ -8,8 +8,8 @@
          !Exchange.Answer.Error;
 }
 
-base::task<bool> runOwn(pooled_link &Link, std::string Text,
-                        base::instant Deadline) {
+base::task<bool> runInternal(pooled_link &Link, std::string Text,
+                             base::instant Deadline) {
   const exchange Exchange =
       co_await Link.Link->run({}, Text, std::nullopt, Deadline);
   co_return isDone(Exchange);
@@ -19,7 +19,8 @@
   Link.ValuesKnown = false;
   Link.Values.clear();
   Link.Prepared.clear();
-  const bool Done = co_await runOwn(Link, Link.Link->resetText(), Deadline);
+  const bool Done =
+      co_await runInternal(Link, Link.Link->resetText(), Deadline);
   Link.ValuesKnown = Done;
   co_return Done;
 }
@@ -34,7 +35,7 @@
     co_return Found->second;
   std::string Name = "p" + std::to_string(Link.Prepared.size() + 1);
   std::string Text = Link.Link->prepareText(Name, Operand);
-  const bool Done = co_await runOwn(Link, std::move(Text), Deadline);
+  const bool Done = co_await runInternal(Link, std::move(Text), Deadline);
   if (!Done)
     co_return std::string();
   Link.Prepared.emplace(Operand, Name);
@@ -68,7 +69,7 @@
 
 base::task<bool> prepareLink(pooled_link &Link, const session_values &Wanted,
                              base::instant Deadline) {
-  if (Link.Relay)
+  if (Link.Forwarding)
     co_return true;
   if (Link.ValuesKnown && Link.Values == Wanted)
     co_return true;
@@ -84,7 +85,7 @@
     if (Present != Link.Values.end() && Present->second == Value)
       continue;
     std::string Text = Link.Link->setText(Name, Value);
-    const bool Done = co_await runOwn(Link, std::move(Text), Deadline);
+    const bool Done = co_await runInternal(Link, std::move(Text), Deadline);
     if (!Done) {
       Link.ValuesKnown = false;
       co_return false;
@@ -96,7 +97,7 @@
 
 base::task<exchange> runOnLink(pooled_link &Link,
                                const link_statement &Statement,
-                               const right_check &StillHolds,
+                               const lease_check &StillHolds,
                                base::instant Deadline) {
   exchange NotRun;
   if (Statement.Values) {
@@ -107,7 +108,7 @@
   const std::string Text = co_await textOf(Link, Statement, Deadline);
   if (Text.empty())
     co_return NotRun;
-  if (Statement.Right && !StillHolds(*Statement.Right))
+  if (Statement.PrimaryLease && !StillHolds(*Statement.PrimaryLease))
     co_return NotRun;
   co_return co_await Link.Link->run(Statement.Id, Text, Statement.After,
                                     Deadline);
--- a/packages/session/src/placement.cpp
+++ b/packages/session/src/placement.cpp
@@ -7,41 +7,43 @@
 
 #include <algorithm>
 
-/// Where a statement runs.
+/// Chooses the endpoint and the connection for a statement.
 namespace redwinggw::session {
 namespace {
 
 using base::instant;
 using base::milliseconds;
 
-/// Pause before looking again for an endpoint that can serve.
-constexpr milliseconds LookAgain{20};
+/// Pause before searching again for an endpoint that can serve.
+constexpr milliseconds RetryInterval{20};
 
 /// Until when a connection may be set up: a statement that gets it then can
-/// still be answered within the aimed latency.
-instant setUpEnd(const session_core &Core, const request &Request) {
+/// still be answered within the target latency.
+instant setUpDeadline(const session_core &Core, const request &Request) {
   const auto Time = std::chrono::duration_cast<base::microseconds>(
       Request.Route.TargetLatency * Core.Limits.SetUpShare);
   return std::min(Request.Deadline,
                   std::max(Request.Arrived + Time, base::now()));
 }
 
-/// Until when to wait for a primary that is expected at \p Expected. What would
-/// come too late is refused at once; what does not come as expected is not
-/// waited for up to the end, or the caller would have no time left to go
-/// elsewhere.
-instant waitEnd(const session_core &Core, request &Request, instant Expected) {
-  if (Request.WaitEnd)
-    return *Request.WaitEnd;
+/// Until when to wait for a primary that is expected at \p Expected. If that is
+/// too late, the statement is refused without that wait; if the primary does
+/// not come as expected, the wait ends before the deadline, or the caller would
+/// have no time left to go elsewhere.
+instant primaryWaitDeadline(const session_core &Core, request &Request,
+                            instant Expected) {
+  if (Request.PrimaryWaitDeadline)
+    return *Request.PrimaryWaitDeadline;
   constexpr milliseconds Margin{400};
   const bool InTime = Expected < Request.Deadline;
-  Request.WaitEnd = InTime ? std::min(Request.Deadline, Expected + Margin)
-                           : patienceEnd(Core, Request);
-  return *Request.WaitEnd;
+  Request.PrimaryWaitDeadline =
+      InTime ? std::min(Request.Deadline, Expected + Margin)
+             : patienceDeadline(Core, Request);
+  return *Request.PrimaryWaitDeadline;
 }
 
-/// The point that a read of this session must see; nothing when only the
-/// primary can tell.
+/// The log position that a read of this session must include; nothing if only
+/// the primary can serve it.
 std::optional<required_point> pointFor(session_core &Core,
                                        const caller_session &Session,
                                        const request &Request, instant Now) {
@@ -70,15 +72,15 @@
                    Left * Core.Limits.FirstTryShare);
 }
 
-/// The way to the endpoint through its owner; null when this instance goes
-/// there itself.
-std::unique_ptr<relay_link> relayTo(const session_core &Core,
-                                    const caller_session &Session,
-                                    const request &Request,
-                                    const endpoint_entry &Entry) {
-  if (Request.Direct || !Core.Ports.Relay)
+/// A link that forwards to the endpoint's owner; null if this instance connects
+/// to the endpoint itself.
+std::unique_ptr<forwarding_link> forwardingLinkTo(const session_core &Core,
+                                                  const caller_session &Session,
+                                                  const request &Request,
+                                                  const endpoint_entry &Entry) {
+  if (Request.Direct || !Core.Ports.Forward)
     return nullptr;
-  return Core.Ports.Relay(Entry, Session.Customer, Request.Route.Priority);
+  return Core.Ports.Forward(Entry, Session.Customer, Request.Route.Priority);
 }
 
 /// Tries to get a connection to \p Name. Nothing when that endpoint cannot
@@ -90,30 +92,32 @@
   if (Pool == nullptr)
     co_return std::nullopt;
   placement Placement;
-  if (auto Relay = relayTo(Core, Session, Request, Pool->entry())) {
-    Placement.Link =
-        leased_link(Pool, Pool->lend(std::move(Relay), Session.Customer));
+  if (auto Forwarding =
+          forwardingLinkTo(Core, Session, Request, Pool->entry())) {
+    Placement.Link = leased_link(
+        Pool, Pool->wrapForwarding(std::move(Forwarding), Session.Customer));
     co_return Placement;
   }
-  slot_pass Pass = co_await takeTurn(Pool, levelOf(Request.Route.Priority),
-                                     Session.Customer, queueEnd(Core, Request));
-  if (!Pass) {
-    Request.LastTrouble = "no turn at " + Name + " in time, " +
+  slot_grant Grant =
+      co_await acquireSlot(Pool, levelOf(Request.Route.Priority),
+                           Session.Customer, queueDeadline(Core, Request));
+  if (!Grant) {
+    Request.LastProblem = "no turn at " + Name + " in time, " +
                           std::to_string(Pool->waiting()) + " waiting";
     co_return std::nullopt;
   }
-  acquired Acquired = co_await Pool->acquire(Session.Customer, Session.Values,
-                                             Latest, setUpEnd(Core, Request));
+  acquired Acquired = co_await Pool->acquire(
+      Session.Customer, Session.Values, Latest, setUpDeadline(Core, Request));
   if (!Acquired.Link) {
-    Request.LastTrouble = "no connection to " + Name + ", " +
+    Request.LastProblem = "no connection to " + Name + ", " +
                           std::to_string(Pool->open()) + " open, " +
                           std::to_string(Pool->waiting()) + " waiting";
     if (Acquired.Failure == acquire_failure::Unreachable)
-      Core.Ports.NoteTrouble(Name);
+      Core.Ports.NoteEndpointProblem(Name);
     co_return std::nullopt;
   }
   Placement.Link = leased_link(Pool, std::move(Acquired.Link));
-  Placement.Link.Pass = std::move(Pass);
+  Placement.Link.Grant = std::move(Grant);
   co_return Placement;
 }
 
@@ -121,11 +125,11 @@
 std::vector<choice_candidate>
 candidatesFor(session_core &Core, const caller_session &Session,
               const request &Request, bool NeedsPrimary,
-              const std::optional<primary_right> &Right,
+              const std::optional<primary_lease> &PrimaryLease,
               const std::optional<required_point> &Point, instant Now) {
   auto Candidates =
       readCandidates(Core.Set, Request.Route.Service, Session.Customer,
-                     Right ? &*Right : nullptr, Point, Now);
+                     PrimaryLease ? &*PrimaryLease : nullptr, Point, Now);
   if (NeedsPrimary || !Point)
     std::erase_if(Candidates, [](const choice_candidate &Candidate) {
       return !Candidate.IsPrimary;
@@ -158,25 +162,25 @@
 
 namespace {
 
-/// Gets a connection to the best candidate that was not tried yet, and notes
-/// what its endpoint is trusted for.
+/// Gets a connection to the best candidate that was not tried yet, and records
+/// the conditions under which its endpoint may serve.
 base::task<std::optional<placement>>
 tryBest(session_core &Core, caller_session &Session, request &Request,
         std::vector<choice_candidate> Candidates,
-        std::optional<primary_right> Right,
+        std::optional<primary_lease> PrimaryLease,
         std::optional<required_point> Point) {
   const choice_candidate Chosen = nextUntried(Candidates, Request);
   Request.Tried.push_back(Chosen.Name);
   auto Placement = co_await connectTo(Core, Session, Request, Chosen.Name,
-                                      patienceEnd(Core, Request));
+                                      patienceDeadline(Core, Request));
   if (!Placement)
     co_return std::nullopt;
   if (Chosen.IsPrimary)
-    Placement->Right = Right;
+    Placement->PrimaryLease = PrimaryLease;
   else
     Placement->Required = Point;
   Request.OnPrimary = Chosen.IsPrimary;
-  Request.Epoch = Right ? Right->Epoch : 0;
+  Request.Epoch = PrimaryLease ? PrimaryLease->Epoch : 0;
   Request.Required = pointOf(*Placement);
   const bool Repeatable = !Request.Writes && Candidates.size() > 1;
   Placement->TryDeadline = tryDeadline(Core, Request, base::now(), Repeatable);
@@ -188,43 +192,44 @@
 base::task<bool> awaitPrimary(session_core &Core, request &Request) {
   const instant Now = base::now();
   const base::service_name &Service = Request.Route.Service;
-  Request.LastTrouble = "no primary of " + Service;
+  Request.LastProblem = "no primary of " + Service;
   const auto Expected = Core.Ports.PrimaryExpected(Service);
-  const instant Latest = Expected ? waitEnd(Core, Request, Now + *Expected)
-                                  : patienceEnd(Core, Request);
-  const bool Worthwhile = Now + LookAgain < Latest;
+  const instant Latest =
+      Expected ? primaryWaitDeadline(Core, Request, Now + *Expected)
+               : patienceDeadline(Core, Request);
+  const bool Worthwhile = Now + RetryInterval < Latest;
   if (Worthwhile)
-    co_await pauseFor(Core, LookAgain);
+    co_await pauseFor(Core, RetryInterval);
   co_return Worthwhile;
 }
 
 bool mayTryAgain(const session_core &Core, request &Request) {
   ++Request.Tries;
   return Request.Tries < Core.Limits.MaxTries &&
-         base::now() < patienceEnd(Core, Request);
+         base::now() < patienceDeadline(Core, Request);
 }
 
 } // namespace
 
-base::task<std::optional<placement>> place(session_core &Core,
-                                           caller_session &Session,
-                                           request &Request,
-                                           bool NeedsPrimary) {
+base::task<std::optional<placement>> findPlacement(session_core &Core,
+                                                   caller_session &Session,
+                                                   request &Request,
+                                                   bool NeedsPrimary) {
   while (true) {
     const instant Now = base::now();
-    const auto Right = Core.Ports.Right(Request.Route.Service);
+    const auto PrimaryLease = Core.Ports.PrimaryLease(Request.Route.Service);
     const auto Point = NeedsPrimary ? std::optional<required_point>()
                                     : pointFor(Core, Session, Request, Now);
-    auto Candidates =
-        candidatesFor(Core, Session, Request, NeedsPrimary, Right, Point, Now);
+    auto Candidates = candidatesFor(Core, Session, Request, NeedsPrimary,
+                                    PrimaryLease, Point, Now);
     if (Candidates.empty()) {
       const bool Again = co_await awaitPrimary(Core, Request);
       if (!Again)
         co_return std::nullopt;
       continue;
     }
-    auto Placement = co_await tryBest(Core, Session, Request,
-                                      std::move(Candidates), Right, Point);
+    auto Placement = co_await tryBest(
+        Core, Session, Request, std::move(Candidates), PrimaryLease, Point);
     if (Placement)
       co_return Placement;
     if (!mayTryAgain(Core, Request))
--- a/packages/session/src/transaction.cpp
+++ b/packages/session/src/transaction.cpp
@@ -1,7 +1,7 @@
 #include "core_parts.hpp"
 #include "link_setup.hpp"
 
-/// Statements inside transactions, and their ends.
+/// Statements inside transactions, commits and rollbacks.
 namespace redwinggw::session {
 namespace {
 
@@ -25,11 +25,12 @@
   Statement.Action = ReadOnly ? link_action::BeginReadOnly : link_action::Begin;
   Statement.Values = Session.Values;
   Statement.After = pointOf(Placement);
-  Statement.Right = Placement.Right;
-  co_return co_await runPlaced(Core, Request, Placement, std::move(Statement));
+  Statement.PrimaryLease = Placement.PrimaryLease;
+  co_return co_await runOnPlacement(Core, Request, Placement,
+                                    std::move(Statement));
 }
 
-bool isOpened(const exchange &Exchange) {
+bool isSuccess(const exchange &Exchange) {
   return Exchange.Outcome == exchange_outcome::Answered &&
          !Exchange.Answer.Error;
 }
@@ -43,20 +44,21 @@
       !Transaction.ReadOnly ||
       Transaction.Route.Consistency == consistency::Primary;
   while (Request.Tries < Core.Limits.MaxTries) {
-    auto Placement = co_await place(Core, Session, Request, NeedsPrimary);
+    auto Placement =
+        co_await findPlacement(Core, Session, Request, NeedsPrimary);
     if (!Placement)
       co_return false;
     ++Request.Tries;
     const exchange Begun = co_await beginOn(Core, Session, Request, *Placement,
                                             Transaction.ReadOnly);
-    const bool Opened = isOpened(Begun);
-    Request.LastTrouble =
+    const bool Opened = isSuccess(Begun);
+    Request.LastProblem =
         Placement->Link.Pool->entry().Name + " did not begin the transaction";
     settle(Core, Session, Request, *Placement, Begun, Opened);
     if (Opened) {
       Transaction.Pool = Placement->Link.Pool;
       Transaction.Link = std::move(Placement->Link.Link);
-      Transaction.Right = Placement->Right;
+      Transaction.PrimaryLease = Placement->PrimaryLease;
       Transaction.Counted.settle(true);
       co_return true;
     }
@@ -66,16 +68,17 @@
   co_return false;
 }
 
-/// The transaction's connection as a placement, so that both kinds of
-/// statements are run and settled in one way.
+/// The transaction's connection as a placement, so that statements inside and
+/// outside of transactions are run and settled in one way.
 placement takePlacement(open_transaction &Transaction, request &Request) {
   placement Placement;
   Placement.Link = leased_link(Transaction.Pool, std::move(Transaction.Link));
-  Placement.Right = Transaction.Right;
-  Placement.Begun = true;
+  Placement.PrimaryLease = Transaction.PrimaryLease;
+  Placement.InTransaction = true;
   Placement.TryDeadline = Request.Deadline;
-  Request.OnPrimary = Transaction.Right.has_value();
-  Request.Epoch = Transaction.Right ? Transaction.Right->Epoch : 0;
+  Request.OnPrimary = Transaction.PrimaryLease.has_value();
+  Request.Epoch =
+      Transaction.PrimaryLease ? Transaction.PrimaryLease->Epoch : 0;
   Request.Tried.assign(1, Transaction.Pool->entry().Name);
   return Placement;
 }
@@ -84,29 +87,31 @@
   Transaction.Link = std::move(Placement.Link.Link);
 }
 
-base::task<exchange> runOnEither(pooled_link &Link,
-                                 const link_statement &Statement,
-                                 base::instant Deadline) {
-  if (!Link.Relay)
+base::task<exchange> runOnAnyLink(pooled_link &Link,
+                                  const link_statement &Statement,
+                                  base::instant Deadline) {
+  if (!Link.Forwarding)
     co_return co_await runOnLink(Link, Statement, {}, Deadline);
-  relay_reply Reply = co_await Link.Relay->run(Statement, Deadline, Deadline);
+  forwarding_reply Reply =
+      co_await Link.Forwarding->run(Statement, Deadline, Deadline);
   co_return std::move(Reply.Exchange);
 }
 
-/// Rolls back on a connection and gives it back, or closes it.
+/// Rolls back on a connection and returns it to its pool, or closes it.
 base::task<void> rollbackOn(leased_link Link) {
   if (!Link)
     co_return;
   link_statement Statement;
   Statement.Action = link_action::Rollback;
   const exchange Ended =
-      co_await runOnEither(*Link.Link, Statement, base::now() + RollbackTime);
-  if (isOpened(Ended) && Ended.Answer.State == transaction_state::Idle)
-    Link.giveBack();
+      co_await runOnAnyLink(*Link.Link, Statement, base::now() + RollbackTime);
+  if (isSuccess(Ended) && Ended.Answer.State == transaction_state::Idle)
+    Link.release();
 }
 
 bool isLost(session_core &Core, const open_transaction &Transaction) {
-  return Transaction.Right && !Core.Ports.StillHolds(*Transaction.Right);
+  return Transaction.PrimaryLease &&
+         !Core.Ports.StillHolds(*Transaction.PrimaryLease);
 }
 
 } // namespace
@@ -160,8 +165,8 @@
 
 namespace {
 
-/// What the caller is told of a commit. \p Wrote: whether there was anything to
-/// keep; without, every failure leaves nothing behind and may be repeated.
+/// The answer to a commit. \p Wrote: whether the transaction has written; if
+/// not, every failure leaves no effect and may be retried.
 answer answerToCommit(exchange Done, bool Trusted, bool Wrote) {
   const auto &Error = Done.Answer.Error;
   const bool Answered = Done.Outcome == exchange_outcome::Answered;
@@ -176,8 +181,8 @@
                      "the connection to the endpoint was lost before the "
                      "commit was sent");
   if (Error)
-    return makeError(isPromise(Error->Code) ? answer_code::Aborted
-                                            : Error->Code,
+    return makeError(isSafeToRetry(Error->Code) ? answer_code::Aborted
+                                                : Error->Code,
                      "the endpoint answered the commit with " +
                          std::string(answerCodeName(Error->Code)));
   return makeError(Done.Outcome == exchange_outcome::TimedOut
@@ -211,12 +216,12 @@
   link_statement Statement;
   Statement.Id = Request.Statement.Id;
   Statement.Text = Request.Statement.Text;
-  Statement.Right = Placement.Right;
+  Statement.PrimaryLease = Placement.PrimaryLease;
   exchange Done =
-      co_await runPlaced(Core, Request, Placement, std::move(Statement));
+      co_await runOnPlacement(Core, Request, Placement, std::move(Statement));
   settle(Core, Session, Request, Placement, Done, false);
   const bool Trusted =
-      !Placement.Right || Core.Ports.StillHolds(*Placement.Right);
+      !Placement.PrimaryLease || Core.Ports.StillHolds(*Placement.PrimaryLease);
   co_return answerToCommit(std::move(Done), Trusted, Wrote);
 }
 
@@ -228,8 +233,9 @@
 }
 
 base::task<void> abandonTransaction(caller_session &Session) {
-  // The transaction is marked before anything waits: a statement that comes
-  // meanwhile must meet a failed transaction, and never run outside of one.
+  // The transaction is marked as failed before the first suspension: a
+  // statement that arrives meanwhile must find a failed transaction, and never
+  // run outside of one.
   Session.Transaction->Failed = true;
   leased_link Link(Session.Transaction->Pool,
                    std::move(Session.Transaction->Link));
--- a/packages/session/src/try_statement.cpp
+++ b/packages/session/src/try_statement.cpp
@@ -3,20 +3,20 @@
 
 #include <algorithm>
 
-/// One try of a statement on the connection that was found for it, and what its
-/// outcome tells.
+/// One attempt to run a statement on the connection that was chosen for it, and
+/// what its outcome shows.
 namespace redwinggw::session {
 
 using base::instant;
 using base::milliseconds;
 
-instant patienceEnd(const session_core &Core, const request &Request) {
+instant patienceDeadline(const session_core &Core, const request &Request) {
   const auto Patience = std::chrono::duration_cast<base::microseconds>(
       Request.Route.TargetLatency * Core.Limits.PatienceShare);
   return std::min(Request.Deadline, Request.Arrived + Patience);
 }
 
-instant queueEnd(const session_core &Core, const request &Request) {
+instant queueDeadline(const session_core &Core, const request &Request) {
   const auto Time = std::chrono::duration_cast<base::microseconds>(
       Request.Route.TargetLatency * Core.Limits.QueueShare);
   return std::min(Request.Deadline, Request.Arrived + Time);
@@ -31,42 +31,44 @@
   if (Exchange.Outcome != exchange_outcome::Answered || !Exchange.Answer.Error)
     return true;
   const answer_code Code = Exchange.Answer.Error->Code;
-  return !isPromise(Code) && Code != answer_code::Unknown;
+  return !isSafeToRetry(Code) && Code != answer_code::Unknown;
 }
 
-/// Has the endpoint's owner run the statement.
+/// Lets the endpoint's owner run the statement.
 base::task<exchange> runByOwner(session_core &Core, request &Request,
                                 placement &Placement,
                                 const link_statement &Statement) {
-  relay_link &Relay = *Placement.Link.Link->Relay;
+  forwarding_link &Forwarding = *Placement.Link.Link->Forwarding;
   endpoint_pool &Pool = *Placement.Link.Pool;
-  Request.Via = Relay.owner();
-  const instant WaitUntil =
-      Placement.Begun ? Placement.TryDeadline : queueEnd(Core, Request);
-  relay_reply Reply =
-      co_await Relay.run(Statement, WaitUntil, Placement.TryDeadline);
+  Request.Via = Forwarding.owner();
+  const instant WaitUntil = Placement.InTransaction
+                                ? Placement.TryDeadline
+                                : queueDeadline(Core, Request);
+  forwarding_reply Reply =
+      co_await Forwarding.run(Statement, WaitUntil, Placement.TryDeadline);
   Placement.Failure = Reply.Failure;
   Placement.RanSince = base::now() - Reply.Ran;
-  if (Reply.Failure != relay_failure::OwnerLost)
+  if (Reply.Failure != forwarding_failure::OwnerLost)
     Pool.noteOwnerLoad(Reply.Load, base::now());
-  if (Reply.Failure != relay_failure::None)
-    Request.LastTrouble = Pool.entry().Name + " through " + Request.Via + ": " +
-                          std::string(relayFailureName(Reply.Failure));
+  if (Reply.Failure != forwarding_failure::None)
+    Request.LastProblem = Pool.entry().Name + " through " + Request.Via + ": " +
+                          std::string(forwardingFailureName(Reply.Failure));
   co_return std::move(Reply.Exchange);
 }
 
-/// Runs the statement on an own connection, which has its turn when it is the
-/// first one there.
-base::task<exchange> runHere(session_core &Core, request &Request,
-                             placement &Placement,
-                             const link_statement &Statement) {
+/// Runs the statement on a connection of this instance. The first statement
+/// there already has a slot; the later ones of a transaction get one here.
+base::task<exchange> runLocally(session_core &Core, request &Request,
+                                placement &Placement,
+                                const link_statement &Statement) {
   Request.Via.clear();
   leased_link &Link = Placement.Link;
-  if (!Link.Pass)
-    Link.Pass = co_await takeTurn(Link.Pool, slot_level::Begun,
-                                  Link.Link->Customer, Placement.TryDeadline);
-  if (!Link.Pass) {
-    Placement.Failure = relay_failure::NoConnection;
+  if (!Link.Grant)
+    Link.Grant =
+        co_await acquireSlot(Link.Pool, slot_level::InTransaction,
+                             Link.Link->Customer, Placement.TryDeadline);
+  if (!Link.Grant) {
+    Placement.Failure = forwarding_failure::NoConnection;
     co_return exchange();
   }
   co_return co_await runOnLink(*Link.Link, Statement, Core.Ports.StillHolds,
@@ -75,17 +77,18 @@
 
 } // namespace
 
-base::task<exchange> runPlaced(session_core &Core, request &Request,
-                               placement &Placement, link_statement Statement) {
+base::task<exchange> runOnPlacement(session_core &Core, request &Request,
+                                    placement &Placement,
+                                    link_statement Statement) {
   const pool_ptr Pool = Placement.Link.Pool;
   const instant Sent = base::now();
   Pool->noteSent(Sent);
   exchange Exchange;
-  if (Placement.Link.Link->Relay) {
+  if (Placement.Link.Link->Forwarding) {
     Exchange = co_await runByOwner(Core, Request, Placement, Statement);
     Exchange.SentAt = Sent;
   } else {
-    Exchange = co_await runHere(Core, Request, Placement, Statement);
+    Exchange = co_await runLocally(Core, Request, Placement, Statement);
   }
   Pool->noteEnded(Sent);
   Request.Ran = Request.Ran || mayHaveRun(Exchange);
@@ -98,22 +101,23 @@
   Statement.Id = Request.Statement.Id;
   Statement.Values = Session.Values;
   Statement.After = pointOf(Placement);
-  Statement.Right = Placement.Right;
+  Statement.PrimaryLease = Placement.PrimaryLease;
   if (Request.Prepared == nullptr) {
     Statement.Text = Request.Statement.Text;
   } else {
     Statement.Prepared = Request.Prepared->Operand;
     Statement.Arguments = Request.Statement.Operand;
   }
-  co_return co_await runPlaced(Core, Request, Placement, std::move(Statement));
+  co_return co_await runOnPlacement(Core, Request, Placement,
+                                    std::move(Statement));
 }
 
 namespace {
 
-/// Takes in what a replica's answer tells about its lag.
+/// Records what a replica's answer shows about its lag.
 void noteLag(replica_lag &Lag, const placement &Placement,
              const exchange &Exchange, instant Now) {
-  if (Placement.Right)
+  if (Placement.PrimaryLease)
     return;
   if (Exchange.Answer.Point)
     noteReached(Lag, *Exchange.Answer.Point);
@@ -121,7 +125,7 @@
     return;
   const auto &Error = Exchange.Answer.Error;
   if (Error && Error->Code == answer_code::Lagging)
-    noteTrailing(Lag, *Placement.Required, Now);
+    noteLagging(Lag, *Placement.Required, Now);
   else if (!Error)
     noteServed(Lag);
 }
@@ -135,32 +139,32 @@
   const auto &Error = Exchange.Answer.Error;
   noteLag(Pool.health().Lag, Placement, Exchange, Now);
   if (Error && Error->Code == answer_code::ReadOnly)
-    Core.Ports.NoteTrouble(Pool.entry().Name);
+    Core.Ports.NoteEndpointProblem(Pool.entry().Name);
   const auto Point = Exchange.Answer.Point;
-  if (Error || !Point || !Placement.Right ||
-      !Core.Ports.StillHolds(*Placement.Right))
+  if (Error || !Point || !Placement.PrimaryLease ||
+      !Core.Ports.StillHolds(*Placement.PrimaryLease))
     return;
-  notePoint(Core.Set, *Placement.Right, Exchange.SentAt, *Point);
+  notePoint(Core.Set, *Placement.PrimaryLease, Exchange.SentAt, *Point);
   const bool Committed =
       Request.Writes && Exchange.Answer.State == transaction_state::Idle;
   if (Committed) {
-    Session.CommitService = Placement.Right->Service;
+    Session.CommitService = Placement.PrimaryLease->Service;
     Session.LastCommit = Point;
     Session.LastCommitAt = Now;
   }
 }
 
-/// Whether the endpoint is to blame for a try that had no answer, and not the
-/// instance that should have run it, or a right that was lost during the
-/// set-up.
+/// Whether an attempt without an answer is the endpoint's failure, and not that
+/// of the instance that should have run it, or of a lease that was lost during
+/// the set-up.
 bool endpointFailed(const session_core &Core, const placement &Placement,
                     const exchange &Exchange) {
-  if (Placement.Failure != relay_failure::None)
-    return Placement.Failure == relay_failure::EndpointLost;
-  const bool RightLost = Exchange.Outcome == exchange_outcome::NotSent &&
-                         Placement.Right &&
-                         !Core.Ports.StillHolds(*Placement.Right);
-  return !RightLost;
+  if (Placement.Failure != forwarding_failure::None)
+    return Placement.Failure == forwarding_failure::EndpointLost;
+  const bool LeaseLost = Exchange.Outcome == exchange_outcome::NotSent &&
+                         Placement.PrimaryLease &&
+                         !Core.Ports.StillHolds(*Placement.PrimaryLease);
+  return !LeaseLost;
 }
 
 } // namespace
@@ -172,24 +176,25 @@
     noteAnswer(Core, Session, Request, Placement, Exchange);
     const bool Idle = Exchange.Answer.State == transaction_state::Idle;
     if (!Keep && Idle)
-      Placement.Link.giveBack();
+      Placement.Link.release();
     return;
   }
-  // The next try does better without an owner that could not help.
-  Request.Direct = Placement.Failure != relay_failure::None &&
-                   Placement.Failure != relay_failure::NoConnection;
+  // The next attempt bypasses an owner that could not be used.
+  Request.Direct = Placement.Failure != forwarding_failure::None &&
+                   Placement.Failure != forwarding_failure::NoConnection;
   if (!endpointFailed(Core, Placement, Exchange))
     return;
   Pool.noteFailure(base::now());
   Pool.closeIdle();
-  Core.Ports.NoteTrouble(Pool.entry().Name);
+  Core.Ports.NoteEndpointProblem(Pool.entry().Name);
 }
 
 bool mayRetry(const session_core &Core, const request &Request,
               const placement &Last) {
   const instant Now = base::now();
-  const bool Crowded = Last.Failure == relay_failure::NoConnection;
-  return Now < (Crowded ? patienceEnd(Core, Request) : Request.Deadline);
+  const bool GotNoConnection = Last.Failure == forwarding_failure::NoConnection;
+  return Now <
+         (GotNoConnection ? patienceDeadline(Core, Request) : Request.Deadline);
 }
 
 answer makeError(answer_error Error) {
@@ -203,12 +208,12 @@
 }
 
 answer_error refusal(const session_core &Core, const request &Request) {
-  // Without a known end of the trouble a caller does best to come back after
+  // If the end of the problem is not known, a caller does best to retry after
   // about the time in which a primary is replaced.
   constexpr milliseconds UnknownEnd{500};
   const milliseconds After =
       Core.Ports.PrimaryExpected(Request.Route.Service).value_or(UnknownEnd);
-  return {answer_code::Busy, Request.LastTrouble + "; retry after " +
+  return {answer_code::Busy, Request.LastProblem + "; retry after " +
                                  std::to_string(After.count()) + " ms"};
 }
 
--- a/tests/bench/config_bench.cpp
+++ b/tests/bench/config_bench.cpp
@@ -35,7 +35,7 @@
   for (std::size_t Index = 0; Index < Customers; ++Index) {
     const std::string Name = "customer-" + std::to_string(Index);
     const std::string Digest =
-        base::toHex(base::keyedDigest(FleetKey, keyOf(Index)));
+        base::toHex(base::hmacSha256(FleetKey, keyOf(Index)));
     Configuration.Customers.push_back({Name, 100, 50});
     Configuration.Keys.push_back(
         {"key-" + std::to_string(Index), Name, Digest});
@@ -104,7 +104,7 @@
   State.Head = {1, "id", 1};
   State.Sheets = {Stored};
   const config_request Gift =
-      key_gift{{"new", "customer-0", std::string(64, 'f')}};
+      key_addition{{"new", "customer-0", std::string(64, 'f')}};
   const double Change =
       medianOf([&] { planSubmission(State, Gift, "other", 0); });
   if (!InForce.Configuration)
--- a/tests/bench/peers_bench.cpp
+++ b/tests/bench/peers_bench.cpp
@@ -134,7 +134,7 @@
     onRows(Node.Shares, Rows, Fleet.Now);
   }
   for (share_send &Send : Actions.Sends) {
-    wire::datagram Datagram = stamp(Node.Membership, Send.To, Fleet.Now);
+    wire::datagram Datagram = nextDatagram(Node.Membership, Send.To, Fleet.Now);
     Datagram.Body = std::move(Send.Message);
     deliver(Fleet, Datagram);
   }
@@ -152,7 +152,7 @@
   const membership &View = Fleet.Nodes.front().Membership;
   const auto Heard =
       std::ranges::count_if(View.Members, [&](const member &Member) {
-        return isHeard(View, Member, Fleet.Now);
+        return isInContact(View, Member, Fleet.Now);
       });
   return static_cast<double>(Heard) / static_cast<double>(View.Members.size());
 }
@@ -186,14 +186,15 @@
 void requestAt(bench_fleet &Fleet, std::size_t Index,
                const std::string &Customer) {
   bench_node &Node = Fleet.Nodes[Index];
-  if (takeToken(Node.Shares.Holder, Customer, Fleet.Now)) {
+  if (takeToken(Node.Shares.Consumer, Customer, Fleet.Now)) {
     ++Fleet.Spent;
     return;
   }
   ++Fleet.Waited;
-  waitForToken(Node.Shares.Holder, Customer, Fleet.Now,
+  waitForToken(Node.Shares.Consumer, Customer, Fleet.Now,
                Fleet.Now + milliseconds(1000));
-  carryOut(Fleet, Index, askForTokens(Node.Shares, Node.Membership, Fleet.Now));
+  carryOut(Fleet, Index,
+           requestTokens(Node.Shares, Node.Membership, Fleet.Now));
 }
 
 void benchShares(const share_load &Load) {
--- a/tests/control/config_in_force_test.cpp
+++ b/tests/control/config_in_force_test.cpp
@@ -20,19 +20,19 @@
   Configuration.Customers.push_back({"a", 1, 1});
   for (const std::string &Key : Keys)
     Configuration.Keys.push_back(
-        {Key, "a", base::toHex(base::keyedDigest(FleetKey, Key))});
+        {Key, "a", base::toHex(base::hmacSha256(FleetKey, Key))});
   return Configuration;
 }
 
-bool works(const config_in_force &InForce, std::string_view Key) {
+bool isKeyInForce(const config_in_force &InForce, std::string_view Key) {
   return InForce.Configuration &&
          findKey(*InForce.Configuration, FleetKey, Key) != nullptr;
 }
 
 } // namespace
 
-// A withdrawn key works again for a while: two reads of the store crossed, and
-// the answer with the older sheet came last.
+// Guards against a withdrawn key that works again for a while: two reads of the
+// store overlap, and the answer with the older sheet arrives last.
 Test(config_in_force, a_late_answer_never_puts_an_older_version_back) {
   std::vector<base::config_version> Order{1, 2, 3, 4};
   do {
@@ -51,18 +51,18 @@
   cr_assert(!config_in_force().Configuration.has_value());
 }
 
-// An operator withdraws a key and the store's answer is lost. The key must
-// stop here at once, and stay so when another operator's sheet, which still
-// holds the key, is accepted in between.
+// An operator withdraws a key and the store's answer is lost. The key must stop
+// working here at once, also when a sheet of another operator that still holds
+// the key is accepted in between.
 Test(config_in_force, a_key_being_withdrawn_stays_out_of_force) {
   config_in_force InForce;
   applyVersion(InForce, withKeys(1, {"k1", "k2"}));
-  cr_assert(works(InForce, "k1"));
+  cr_assert(isKeyInForce(InForce, "k1"));
   cr_assert(withdrawHere(InForce, "k1"));
-  cr_assert(!works(InForce, "k1"));
-  cr_assert(works(InForce, "k2"));
+  cr_assert(!isKeyInForce(InForce, "k1"));
+  cr_assert(isKeyInForce(InForce, "k2"));
   applyVersion(InForce, withKeys(2, {"k1", "k2"}));
-  cr_assert(!works(InForce, "k1"));
+  cr_assert(!isKeyInForce(InForce, "k1"));
   applyVersion(InForce, withKeys(3, {"k2"}));
   cr_assert(InForce.Withdrawing.empty());
 }
@@ -72,7 +72,7 @@
   applyVersion(InForce, withKeys(1, {"k1", "k2"}));
   withdrawHere(InForce, "k1");
   undoWithdrawHere(InForce, "k1");
-  cr_assert(works(InForce, "k1"));
+  cr_assert(isKeyInForce(InForce, "k1"));
   cr_assert(InForce.Configuration == withKeys(1, {"k1", "k2"}));
 }
 
--- a/tests/control/config_service_test.cpp
+++ b/tests/control/config_service_test.cpp
@@ -22,12 +22,12 @@
   cr_assert(Accepted->Version == 1);
   cr_assert(Fleet.Left->inForce().Version == 1);
   const auto Given = co_await Fleet.Right->giveKey("a");
-  cr_assert(works(*Fleet.Right, Given->Key));
-  co_await Fleet.until([&] { return works(*Fleet.Left, Given->Key); });
+  cr_assert(isKeyInForce(*Fleet.Right, Given->Key));
+  co_await Fleet.until([&] { return isKeyInForce(*Fleet.Left, Given->Key); });
   const auto Withdrawn = co_await Fleet.Left->withdrawKey(Given->Id);
   cr_assert(Withdrawn->Version == 3);
-  cr_assert(!works(*Fleet.Left, Given->Key));
-  co_await Fleet.until([&] { return !works(*Fleet.Right, Given->Key); });
+  cr_assert(!isKeyInForce(*Fleet.Left, Given->Key));
+  co_await Fleet.until([&] { return !isKeyInForce(*Fleet.Right, Given->Key); });
   const auto History = co_await Fleet.Left->history(2);
   cr_assert(History->size() == 2);
   cr_assert(History->front().Version == 3);
@@ -72,13 +72,14 @@
   Fleet.Cut = store_cut::None;
   const auto Again = co_await Fleet.Right->submit(First);
   cr_assert(Again->Version == 1);
-  cr_assert(Again->Already);
+  cr_assert(Again->AlreadyAccepted);
 }
 
 } // namespace
 
-// The store takes a sheet, but its answer is lost. The operator would be told
-// "conflict" on the repeat, or the sheet would be accepted twice.
+// The store accepts a sheet, but its answer is lost. Guards against reporting a
+// conflict to the operator who submits it again, and against accepting the
+// sheet twice.
 Test(config_service, a_lost_answer_is_resolved_by_reading_back) {
   config_fixture Fleet;
   Fleet.run([&] { return repeatAfterLostAnswer(Fleet); });
@@ -89,20 +90,20 @@
 task<void> withdrawThrough(config_fixture &Fleet, store_cut Cut) {
   co_await Fleet.Left->submit(First);
   const auto Given = co_await Fleet.Left->giveKey("a");
-  co_await Fleet.until([&] { return works(*Fleet.Right, Given->Key); });
+  co_await Fleet.until([&] { return isKeyInForce(*Fleet.Right, Given->Key); });
   Fleet.Cut = Cut;
   const auto Unknown = co_await Fleet.Left->withdrawKey(Given->Id);
   cr_assert(kindOf(Unknown.error()) == errc::OutcomeUnknown);
-  cr_assert(!works(*Fleet.Left, Given->Key));
+  cr_assert(!isKeyInForce(*Fleet.Left, Given->Key));
   Fleet.Cut = store_cut::None;
-  co_await Fleet.until([&] { return !works(*Fleet.Right, Given->Key); });
+  co_await Fleet.until([&] { return !isKeyInForce(*Fleet.Right, Given->Key); });
 }
 
 } // namespace
 
-// An operator withdraws a key while the store breaks down, before or after the
-// commit took effect. The operator is told that the outcome is unknown; the
-// key must stop here at once, and everywhere when the store is back.
+// An operator withdraws a key while the store fails, before or after the commit
+// took effect. The outcome is reported as unknown; the key must stop working
+// here at once, and everywhere when the store is back.
 Test(config_service,
      a_withdrawal_of_unknown_outcome_is_in_force_and_completed) {
   for (const store_cut Cut :
@@ -120,7 +121,7 @@
   Fleet.Cut = store_cut::All;
   const auto Refused = co_await Fleet.Left->withdrawKey(Given->Id);
   cr_assert(kindOf(Refused.error()) == errc::StoreUnreachable);
-  cr_assert(works(*Fleet.Left, Given->Key));
+  cr_assert(isKeyInForce(*Fleet.Left, Given->Key));
 }
 
 } // namespace
@@ -144,8 +145,8 @@
 
 } // namespace
 
-// An instance restarts while the store is down. It has nothing in force and
-// must not take an empty configuration for the real one.
+// An instance restarts while the store is down. It has nothing in force, and
+// must not mistake an empty configuration for the accepted one.
 Test(config_service, nothing_is_in_force_before_the_store_was_read) {
   config_fixture Fleet;
   Fleet.Cut = store_cut::All;
@@ -164,7 +165,8 @@
 
 } // namespace
 
-// Guards against accepting a change that nobody could confirm to be in force.
+// Guards against accepting a change that no majority can confirm to be in
+// force.
 Test(config_service, without_a_majority_nothing_is_accepted) {
   config_fixture Fleet;
   control::configuration_ports Ports;
--- a/tests/control/config_submission_test.cpp
+++ b/tests/control/config_submission_test.cpp
@@ -13,12 +13,12 @@
 
 namespace {
 
-/// The table service, in memory.
+/// An in-memory table service.
 struct table {
   std::map<std::string, storage::row> Rows;
   std::uint64_t LastVersion = 0;
-  /// Off, it commits whatever its conditions: the guard that the race test
-  /// shows to be needed.
+  /// If false, commits ignore their conditions. The race test uses this to show
+  /// that the conditions are necessary.
   bool ChecksConditions = true;
 };
 
@@ -77,14 +77,14 @@
   return finish(Table, Submission);
 }
 
-/// What may happen to one commit on its way.
-enum class fate { Answered, AnswerLost, RequestLost, Late };
+/// What may happen to one commit in transit.
+enum class delivery { Answered, AnswerLost, RequestLost, Late };
 
 /// One operator in the race.
 struct racer {
   submission Submission;
   submission_action Next = read_config{};
-  /// A commit that is still on its way.
+  /// A commit that is still in transit.
   std::optional<storage::commit_request> InFlight;
   unsigned Faults = 1;
 
@@ -92,7 +92,7 @@
       : Submission(std::move(Request), std::move(Id)) {}
 };
 
-/// Everything about a race; copied at each branch of the search.
+/// The whole state of a race; copied at each branch of the search.
 struct race {
   table Table;
   std::vector<racer> Racers;
@@ -110,7 +110,7 @@
 }
 
 /// One step of \p Racer; a commit meets \p Fate.
-void step(race &Race, racer &Racer, fate Fate) {
+void step(race &Race, racer &Racer, delivery Delivery) {
   const auto *Commit = std::get_if<config_commit>(&Racer.Next);
   if (Commit == nullptr) {
     Racer.Next =
@@ -119,19 +119,19 @@
   }
   const storage::commit_request Request = Commit->Request;
   auto Answer = commit_answer::Unknown;
-  if (Fate == fate::Late)
+  if (Delivery == delivery::Late)
     Racer.InFlight = Request;
-  if (Fate == fate::Answered || Fate == fate::AnswerLost) {
+  if (Delivery == delivery::Answered || Delivery == delivery::AnswerLost) {
     const bool Took = commitTo(Race.Table, Request);
     Race.Accepts += Took ? 1 : 0;
-    if (Fate == fate::Answered)
+    if (Delivery == delivery::Answered)
       Answer = Took ? commit_answer::Accepted : commit_answer::Conflict;
   }
   Racer.Next = onCommitAnswer(Racer.Submission, Answer);
 }
 
 /// Calls \p Check at the end of each run that can follow from \p Race, until it
-/// answers false.
+/// returns false.
 template <typename Callback> bool explore(const race &Race, Callback Check) {
   bool Ended = true;
   for (std::size_t Index = 0; Index < Race.Racers.size(); ++Index) {
@@ -147,14 +147,14 @@
       continue;
     Ended = false;
     const bool Commits = std::holds_alternative<config_commit>(Racer.Next);
-    for (const fate Fate :
-         {fate::Answered, fate::AnswerLost, fate::RequestLost, fate::Late}) {
-      const bool Faulty = Fate != fate::Answered;
+    for (const delivery Delivery : {delivery::Answered, delivery::AnswerLost,
+                                    delivery::RequestLost, delivery::Late}) {
+      const bool Faulty = Delivery != delivery::Answered;
       if (Faulty && (!Commits || Racer.Faults == 0))
         continue;
       race Next = Race;
       Next.Racers[Index].Faults -= Faulty ? 1 : 0;
-      step(Next, Next.Racers[Index], Fate);
+      step(Next, Next.Racers[Index], Delivery);
       if (!explore(Next, Check))
         return false;
     }
@@ -180,7 +180,8 @@
          InForce.Keys.end();
 }
 
-/// True when all ends of a race of two sheets made from one version are right.
+/// True when every possible end of a race of two sheets made from the same
+/// version is correct.
 bool allEndsRight(bool ChecksConditions, unsigned &Ends) {
   race Race;
   submitSheet(Race.Table, withCustomers(0, {"a"}), "first");
@@ -203,9 +204,10 @@
 
 } // namespace
 
-// Two operators submit sheets made from the same version. Both see "accepted",
-// but one sheet is gone. Both read the head before either wrote, and answers
-// get lost on the way, so one repeats a commit that has taken effect.
+// Guards against two operators who submit sheets made from the same version and
+// both see "accepted", while one sheet is lost. Both read the head before
+// either writes, and answers are lost, so one repeats a commit that has taken
+// effect.
 Test(config_submission, of_two_racing_sheets_one_wins_whatever_is_lost) {
   unsigned Ends = 0;
   cr_assert(allEndsRight(true, Ends));
@@ -213,16 +215,16 @@
   cr_assert(!allEndsRight(false, Ends));
 }
 
-// An operator withdraws a key while another gives one. The withdrawal is
-// reported accepted, yet the key works: the gift was built on what was in
-// force before and put the key back.
+// An operator withdraws a key while another adds one. Guards against a
+// withdrawal that is reported as accepted although the key still works, because
+// the addition was based on the version before and put the key back.
 Test(config_submission, racing_key_changes_both_take_effect) {
   race Race;
   submitSheet(Race.Table, withCustomers(0, {"a"}), "first");
-  submission Gift(key_gift{{"old", "a", std::string(64, '1')}}, "gift");
-  finish(Race.Table, Gift);
+  submission Addition(key_addition{{"old", "a", std::string(64, '1')}}, "gift");
+  finish(Race.Table, Addition);
   Race.Racers.emplace_back(key_withdrawal{"old"}, "withdrawal");
-  Race.Racers.emplace_back(key_gift{{"new", "a", std::string(64, '2')}},
+  Race.Racers.emplace_back(key_addition{{"new", "a", std::string(64, '2')}},
                            "second gift");
   explore(Race, [](race End) {
     cr_assert(End.Accepts == 2);
@@ -232,8 +234,8 @@
   });
 }
 
-// The answer to a submission was lost and somebody else has changed more since.
-// The operator submits the same sheet again and must not be told that it lost.
+// The answer to a submission was lost, and another operator has made further
+// changes since. Submitting the same sheet again must not report a conflict.
 Test(config_submission, a_repeated_sheet_is_recognised_after_later_changes) {
   table Table;
   submitSheet(Table, withCustomers(0, {"a"}), "first");
@@ -242,7 +244,7 @@
   const auto *Accepted = std::get_if<config_accepted>(&Action);
   cr_assert(Accepted != nullptr);
   cr_assert(Accepted->Version == 1);
-  cr_assert(Accepted->Already);
+  cr_assert(Accepted->AlreadyAccepted);
 }
 
 Test(config_submission, a_refusal_names_what_changed_since) {
@@ -254,9 +256,9 @@
   cr_assert(Refused != nullptr);
   cr_assert(kindOf(Refused->Failure) == base::errc::Conflict);
   const std::vector<config_change> Expected{
-      {config_part::Customer, "a", change_kind::Removed},
-      {config_part::Customer, "c", change_kind::Added}};
-  cr_assert(Refused->Since == Expected);
+      {config_row_kind::Customer, "a", change_kind::Removed},
+      {config_row_kind::Customer, "c", change_kind::Added}};
+  cr_assert(Refused->ChangesSince == Expected);
   cr_assert(Refused->Failure.Detail.find("customer a removed") !=
             std::string::npos);
 }
@@ -266,7 +268,8 @@
   submitSheet(Table, withCustomers(0, {"a"}), "first");
   const std::vector<std::pair<config_request, base::errc>> Cases{
       {withCustomers(9, {"a"}), base::errc::BadSheet},
-      {key_gift{{"k", "nobody", std::string(64, '1')}}, base::errc::NotFound},
+      {key_addition{{"k", "nobody", std::string(64, '1')}},
+       base::errc::NotFound},
       {key_withdrawal{"k"}, base::errc::NotFound},
   };
   for (const auto &[Request, Kind] : Cases) {
@@ -279,9 +282,10 @@
 Test(config_submission, giving_up_says_whether_anything_may_have_changed) {
   table Table;
   submission Submission(withCustomers(0, {"a"}), "id");
-  cr_assert(kindOf(onGivenUp(Submission)) == base::errc::StoreUnreachable);
+  cr_assert(kindOf(failureOnTimeout(Submission)) ==
+            base::errc::StoreUnreachable);
   onState(Submission, stateFor(Table, Submission), 0);
-  cr_assert(kindOf(onGivenUp(Submission)) == base::errc::OutcomeUnknown);
+  cr_assert(kindOf(failureOnTimeout(Submission)) == base::errc::OutcomeUnknown);
 }
 
 Test(config_submission, old_sheets_leave_the_store) {
--- a/tests/control/demand_relays_test.cpp
+++ b/tests/control/demand_relays_test.cpp
@@ -18,15 +18,15 @@
   return Relays;
 }
 
-double partsOf(const demand_fleet &Fleet) {
+double sumOfShares(const demand_fleet &Fleet) {
   double Sum = 0;
   for (std::size_t Index = 0; Index < Count; ++Index)
     if (!Fleet.isDead(Index))
-      Sum += Fleet.Shares[Index].Accounts.at("acme").Part;
+      Sum += Fleet.Shares[Index].Accounts.at("acme").Share;
   return Sum;
 }
 
-/// A demand of 880 a second, most of it at two instances.
+/// A demand of 880 per second, most of it at two instances.
 std::vector<double> unevenly() {
   std::vector<double> Rates(Count, 10);
   Rates[7] = 400;
@@ -34,8 +34,8 @@
   return Rates;
 }
 
-/// Floods all instances for five seconds and answers whether that kept the
-/// rate.
+/// Floods all instances for five seconds; returns whether that stayed within
+/// the rate.
 bool keepsRate(demand_fleet &Fleet, double Rate, double Burst) {
   const std::size_t Before = Fleet.Spent;
   Fleet.load(evenly(4 * Rate), milliseconds(5000));
@@ -47,8 +47,8 @@
 Test(demand_relays, divide_the_whole_rate_once) {
   demand_fleet Fleet = relayedFleet(2000, 2000);
   Fleet.load(unevenly(), milliseconds(8000));
-  cr_assert(partsOf(Fleet) > 0.9 && partsOf(Fleet) < 1.04, "%f",
-            partsOf(Fleet));
+  cr_assert(sumOfShares(Fleet) > 0.9 && sumOfShares(Fleet) < 1.04, "%f",
+            sumOfShares(Fleet));
 }
 
 Test(demand_relays, serve_a_customer_within_its_rate) {
@@ -70,7 +70,7 @@
   }
 }
 
-// Guards against a flood that is served until all relays tell of it.
+// Guards against a flood that is served until all relays report it.
 Test(demand_relays, keep_a_sudden_flood_of_eight_times_within_the_rate) {
   for (const double Rate : {20.0, 100.0}) {
     demand_fleet Fleet = relayedFleet(Rate, Rate);
@@ -127,7 +127,8 @@
   }
 }
 
-// Guards against a zone split from its own relays that serves the rate again.
+// Guards against a zone that is split from its own relays and serves the rate
+// again.
 Test(demand_relays, keep_a_flood_within_the_rate_in_a_split_zone) {
   demand_fleet Fleet = relayedFleet(200, 200);
   Fleet.StoreReached = true;
--- a/tests/control/membership_fleet.hpp
+++ b/tests/control/membership_fleet.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "redwinggw/control/currency.hpp"
+#include "redwinggw/control/config_freshness.hpp"
 #include "redwinggw/control/membership.hpp"
 
 #include <algorithm>
@@ -10,8 +10,8 @@
 #include <string>
 #include <vector>
 
-/// Several memberships in one test, with passed-in time and links that the
-/// test cuts.
+/// Several memberships in one test, with simulated time and links that the test
+/// can cut.
 namespace redwinggw::control::testing {
 
 using base::instant;
@@ -19,7 +19,7 @@
 
 struct fleet_instance {
   membership Membership;
-  currency_state Currency;
+  config_freshness_state Freshness;
   base::config_version Version = 1;
   bool Up = true;
   bool SeesStore = true;
@@ -29,7 +29,7 @@
   std::vector<fleet_instance> Instances;
   base::config_version Head = 1;
   instant Now{milliseconds(1'000'000)};
-  /// True: datagrams from the first to the second arrive.
+  /// Whether datagrams from the first to the second instance arrive.
   std::function<bool(std::size_t, std::size_t)> Connected =
       [](std::size_t, std::size_t) { return true; };
 };
@@ -52,7 +52,7 @@
 }
 
 inline fleet makeFleet(std::size_t Count, membership_limits Limits = {},
-                       currency_limits Currency = {}) {
+                       config_freshness_limits Freshness = {}) {
   fleet Fleet;
   std::vector<storage::listed_instance> List;
   std::ranges::transform(std::views::iota(std::size_t{0}, Count),
@@ -60,13 +60,14 @@
   for (const storage::listed_instance &Self : List) {
     fleet_instance &Instance = Fleet.Instances.emplace_back();
     Instance.Membership = makeMembership({Self.Name, Self.Zone, 100}, Limits);
-    Instance.Currency.Limits = Currency;
+    Instance.Freshness.Limits = Freshness;
     onList(Instance.Membership, List, Fleet.Now);
   }
   return Fleet;
 }
 
-/// Delivers at once along the links that are up, with the replies.
+/// Delivers datagrams, and the replies to them, at once over the links that are
+/// up.
 inline void deliver(fleet &Fleet, std::vector<peer_send> Sends) {
   for (const peer_send &Send : Sends) {
     const std::size_t From = indexOf(Send.Datagram.Sender);
@@ -79,8 +80,8 @@
   }
 }
 
-/// Lets \p Time pass: heartbeats, and a read of the store every 250 ms, after
-/// which the version read is in force.
+/// Simulates \p Time: heartbeats, and a read of the store every 250 ms that
+/// puts the version read in force.
 inline void run(fleet &Fleet, milliseconds Time) {
   constexpr milliseconds Step{50};
   constexpr milliseconds ReadInterval{250};
@@ -101,19 +102,21 @@
   }
 }
 
-inline currency judgeAt(fleet &Fleet, std::size_t Index) {
+inline config_freshness evaluateAt(fleet &Fleet, std::size_t Index) {
   fleet_instance &Instance = Fleet.Instances[Index];
-  return judge(Instance.Currency, Instance.Membership, Instance.Version,
-               Fleet.Now);
+  return evaluateConfigFreshness(Instance.Freshness, Instance.Membership,
+                                 Instance.Version, Fleet.Now);
 }
 
-/// Runs on and judges every 50 ms, as the shell does.
-inline currency judgeAfter(fleet &Fleet, std::size_t Index, milliseconds Time) {
+/// Runs for \p Time and evaluates the freshness every 50 ms, as an instance
+/// does.
+inline config_freshness evaluateAfter(fleet &Fleet, std::size_t Index,
+                                      milliseconds Time) {
   constexpr milliseconds Step{50};
-  currency Last = judgeAt(Fleet, Index);
+  config_freshness Last = evaluateAt(Fleet, Index);
   for (milliseconds Past{0}; Past < Time; Past += Step) {
     run(Fleet, Step);
-    Last = judgeAt(Fleet, Index);
+    Last = evaluateAt(Fleet, Index);
   }
   return Last;
 }
--- a/tests/control/membership_test.cpp
+++ b/tests/control/membership_test.cpp
@@ -10,15 +10,15 @@
 
 namespace {
 
-member_state stateSeen(const fleet &Fleet, std::size_t By, std::size_t Of) {
+member_state stateAt(const fleet &Fleet, std::size_t By, std::size_t Of) {
   return findMember(Fleet.Instances[By].Membership, nameOf(Of))->State;
 }
 
-std::size_t heardBy(const fleet &Fleet, std::size_t By) {
+std::size_t contactCount(const fleet &Fleet, std::size_t By) {
   const membership &Membership = Fleet.Instances[By].Membership;
   return static_cast<std::size_t>(
       std::ranges::count_if(Membership.Members, [&](const member &Member) {
-        return isHeard(Membership, Member, Fleet.Now);
+        return isInContact(Membership, Member, Fleet.Now);
       }));
 }
 
@@ -28,13 +28,13 @@
      a_silent_instance_becomes_suspect_then_dead_then_is_forgotten) {
   fleet Fleet = makeFleet(3);
   run(Fleet, milliseconds(1000));
-  cr_assert(stateSeen(Fleet, 0, 2) == member_state::Alive);
+  cr_assert(stateAt(Fleet, 0, 2) == member_state::Alive);
   Fleet.Instances[2].Up = false;
   run(Fleet, milliseconds(1200));
-  cr_assert(stateSeen(Fleet, 0, 2) == member_state::Suspect);
+  cr_assert(stateAt(Fleet, 0, 2) == member_state::Suspect);
   run(Fleet, milliseconds(2000));
-  cr_assert(stateSeen(Fleet, 0, 2) == member_state::Dead);
-  cr_assert(hearsMajority(Fleet.Instances[0].Membership, Fleet.Now));
+  cr_assert(stateAt(Fleet, 0, 2) == member_state::Dead);
+  cr_assert(inContactWithMajority(Fleet.Instances[0].Membership, Fleet.Now));
   onList(Fleet.Instances[0].Membership, {listed(0), listed(1)}, Fleet.Now);
   cr_assert(findMember(Fleet.Instances[0].Membership, "i2") == nullptr);
 }
@@ -44,25 +44,26 @@
   run(Fleet, milliseconds(1000));
   deliver(Fleet, onLeave(Fleet.Instances[2].Membership, Fleet.Now));
   run(Fleet, milliseconds(50));
-  cr_assert(stateSeen(Fleet, 0, 2) == member_state::Leaving);
-  cr_assert(stateSeen(Fleet, 1, 2) == member_state::Leaving);
+  cr_assert(stateAt(Fleet, 0, 2) == member_state::Leaving);
+  cr_assert(stateAt(Fleet, 1, 2) == member_state::Leaving);
 }
 
-// One direction of a link is cut: 0 still gets the heartbeats of 1, but 1 gets
-// none of 0's. A majority counted on such a link would not know what 0 does.
-Test(membership, a_link_that_works_one_way_does_not_count_as_heard) {
+// One direction of a link is cut: 0 still receives the heartbeats of 1, but 1
+// receives none from 0. A majority counted over such a link would not know what
+// 0 does.
+Test(membership, a_one_way_link_does_not_count_as_contact) {
   fleet Fleet = makeFleet(2);
   run(Fleet, milliseconds(1000));
   Fleet.Connected = [](std::size_t From, std::size_t) { return From == 1; };
   run(Fleet, milliseconds(2000));
-  cr_assert(heardBy(Fleet, 0) == 0);
-  cr_assert(!hearsMajority(Fleet.Instances[0].Membership, Fleet.Now));
+  cr_assert(contactCount(Fleet, 0) == 0);
+  cr_assert(!inContactWithMajority(Fleet.Instances[0].Membership, Fleet.Now));
 }
 
-// An instance starts again after its wall clock stepped back, so its
-// incarnation is lower than the last one and all drop what it sends. It would
-// stay unheard for ever.
-Test(membership, an_instance_whose_clock_stepped_back_is_heard_again) {
+// An instance restarts after its wall clock stepped back, so its incarnation is
+// lower than the last one and the others drop its datagrams. It would never be
+// in contact again.
+Test(membership, an_instance_whose_clock_stepped_back_is_in_contact_again) {
   fleet Fleet = makeFleet(3);
   run(Fleet, milliseconds(1000));
   fleet Fresh = makeFleet(3);
@@ -70,7 +71,7 @@
   Fleet.Instances[2].Membership.Self.Incarnation = 50;
   run(Fleet, milliseconds(1500));
   cr_assert(Fleet.Instances[2].Membership.Self.Incarnation > 100);
-  cr_assert(stateSeen(Fleet, 0, 2) == member_state::Alive);
+  cr_assert(stateAt(Fleet, 0, 2) == member_state::Alive);
 }
 
 Test(membership, late_doubled_and_misaddressed_datagrams_change_nothing) {
@@ -91,34 +92,37 @@
   onHeartbeat(Receiver, First, Fleet.Now);
   cr_assert(!admitDatagram(Receiver, Old.at(1).Datagram));
   cr_assert(Receiver.Counters.Heartbeats == Before);
-  cr_assert(Receiver.Counters.Doubled == 1 && Receiver.Counters.Crossed == 1);
+  cr_assert(Receiver.Counters.Duplicate == 1 &&
+            Receiver.Counters.Reordered == 1);
   cr_assert(Receiver.Counters.Misaddressed == 1);
 }
 
-// Guards against a large fleet in which a part is not heard of.
-Test(membership, a_large_fleet_hears_a_majority_by_relay) {
+// Guards against a large fleet in which reports of some instances do not
+// arrive.
+Test(membership, a_large_fleet_is_in_contact_with_a_majority_through_relays) {
   fleet Fleet = makeFleet(64);
   run(Fleet, milliseconds(3000));
   for (std::size_t Index = 0; Index < 64; ++Index) {
-    cr_assert(heardBy(Fleet, Index) == 63);
-    cr_assert(hearsMajority(Fleet.Instances[Index].Membership, Fleet.Now));
+    cr_assert(contactCount(Fleet, Index) == 63);
+    cr_assert(
+        inContactWithMajority(Fleet.Instances[Index].Membership, Fleet.Now));
   }
   Fleet.Instances[9].Up = false;
   run(Fleet, milliseconds(4000));
   for (std::size_t Index = 0; Index < 64; ++Index)
     if (Index != 9)
-      cr_assert(stateSeen(Fleet, Index, 9) == member_state::Dead);
+      cr_assert(stateAt(Fleet, Index, 9) == member_state::Dead);
 }
 
-// A third instance joins right before the list cannot be read any more: the
-// first two do not have it on theirs, so nobody answers it, and it refuses its
-// callers for as long as the list is away. Its own heartbeats, rightly signed,
-// are enough to answer it; they need no list.
+// A third instance joins right before the list becomes unreadable. It is not on
+// the lists of the first two, so they would not answer it, and it would refuse
+// its callers until the list is readable again. Its own heartbeats with a valid
+// signature are enough for the others to answer it.
 Test(membership, an_instance_that_is_not_listed_yet_is_answered) {
   fleet Fleet = makeFleet(3);
   for (const std::size_t Index : {0, 1}) {
     membership &Membership = Fleet.Instances[Index].Membership;
-    Membership.Limits.AcceptStrangers = true;
+    Membership.Limits.AcceptUnlisted = true;
     onList(Membership, {listed(0), listed(1)}, Fleet.Now);
   }
   membership &Newcomer = Fleet.Instances[2].Membership;
@@ -126,13 +130,13 @@
   const auto Sends = onTick(Newcomer, Fleet.Now + milliseconds(500));
   const wire::datagram Hello = Sends.front().Datagram;
   cr_assert(Hello.Receiver == "i0");
-  onStranger(Known, Hello, {"127.0.0.1", 7}, Fleet.Now);
+  onUnlistedInstance(Known, Hello, {"127.0.0.1", 7}, Fleet.Now);
   const member *Added = findMember(Known, "i2");
   cr_assert(Added != nullptr && Added->Address.Port == 7);
   cr_assert(admitDatagram(Known, Hello));
-  // A longer list only asks for more instances.
+  // A longer list only raises the number needed for a majority.
   cr_assert(instanceCount(Known) == 3);
-  // The next list decides.
+  // The next list replaces it.
   onList(Known, {listed(0), listed(1)}, Fleet.Now);
   cr_assert(findMember(Known, "i2") == nullptr);
 }
--- a/tests/control/relays_test.cpp
+++ b/tests/control/relays_test.cpp
@@ -21,15 +21,15 @@
   return Relays;
 }
 
-/// Lets all relays die, and others take their place.
+/// Stops all relays and waits until others have replaced them.
 void replaceRelays(fleet &Fleet) {
   for (const std::size_t Relay : relaysOf(Fleet))
     Fleet.Instances[Relay].Up = false;
   run(Fleet, milliseconds(3000));
 }
 
-/// Heartbeats that an instance sends in a second, answers included; the most of
-/// those that are no relays, and of all.
+/// Heartbeats that an instance sends in a second, answers included: the maximum
+/// over the instances that are no relays, and over all.
 std::pair<std::uint64_t, std::uint64_t> sentInASecond(fleet &Fleet) {
   std::vector<std::uint64_t> Before;
   Before.reserve(Fleet.Instances.size());
@@ -47,7 +47,7 @@
   return Most;
 }
 
-bool allHearAll(const fleet &Fleet) {
+bool allInContact(const fleet &Fleet) {
   return std::ranges::all_of(
       Fleet.Instances, [&](const fleet_instance &Instance) {
         const membership &Membership = Instance.Membership;
@@ -55,7 +55,7 @@
                std::ranges::all_of(
                    Membership.Members, [&](const member &Member) {
                      return !Fleet.Instances[indexOf(Member.Name)].Up ||
-                            isHeard(Membership, Member, Fleet.Now);
+                            isInContact(Membership, Member, Fleet.Now);
                    });
       });
 }
@@ -66,7 +66,7 @@
   fleet Fleet = makeFleet(60);
   run(Fleet, milliseconds(2000));
   cr_assert(relaysOf(Fleet).size() == 4);
-  cr_assert(allHearAll(Fleet));
+  cr_assert(allInContact(Fleet));
 }
 
 Test(relays, are_all_instances_of_a_small_fleet) {
@@ -98,7 +98,7 @@
   run(Small, milliseconds(2000));
   run(Large, milliseconds(2000));
   cr_assert(sentInASecond(Large).first <= sentInASecond(Small).first);
-  cr_assert(allHearAll(Large));
+  cr_assert(allInContact(Large));
 }
 
 Test(relays, are_replaced_when_they_die) {
@@ -106,19 +106,20 @@
   run(Fleet, milliseconds(2000));
   replaceRelays(Fleet);
   cr_assert(relaysOf(Fleet).size() == 4);
-  cr_assert(allHearAll(Fleet));
+  cr_assert(allInContact(Fleet));
   for (const fleet_instance &Instance : Fleet.Instances)
-    cr_assert(!Instance.Up || hearsMajority(Instance.Membership, Fleet.Now));
+    cr_assert(!Instance.Up ||
+              inContactWithMajority(Instance.Membership, Fleet.Now));
 }
 
-// Guards against asking dead relays again and again in place of live ones.
+// Guards against retrying dead relays instead of using live ones.
 Test(relays, stay_replaced_while_the_former_ones_are_dead) {
   fleet Fleet = makeFleet(60);
   run(Fleet, milliseconds(2000));
   replaceRelays(Fleet);
   for (int Step = 0; Step < 200; ++Step) {
     run(Fleet, milliseconds(50));
-    cr_assert(allHearAll(Fleet), "after %d ms", 50 * Step);
+    cr_assert(allInContact(Fleet), "after %d ms", 50 * Step);
   }
 }
 
@@ -142,13 +143,14 @@
   const auto Relays = relaysOf(Fleet);
   cr_assert(Relays.size() == 4 &&
             std::ranges::find(Relays, Leaving) == Relays.end());
-  cr_assert(allHearAll(Fleet));
+  cr_assert(allInContact(Fleet));
   for (const fleet_instance &Instance : Fleet.Instances)
     if (const member *Member = findMember(Instance.Membership, nameOf(Leaving)))
       cr_assert(Member->State == member_state::Leaving);
 }
 
-// Guards against a zone that hears nobody while it cannot reach its relays.
+// Guards against instances that lose contact with everybody because they cannot
+// reach the relays of their zone.
 Test(relays, are_chosen_anew_by_a_part_of_a_zone_that_is_cut_off) {
   fleet Fleet = makeFleet(60);
   run(Fleet, milliseconds(2000));
@@ -160,14 +162,14 @@
     return IsApart(From) == IsApart(To);
   };
   run(Fleet, milliseconds(4000));
-  cr_assert(!hearsMajority(Fleet.Instances[31].Membership, Fleet.Now));
-  cr_assert(hearsMajority(Fleet.Instances[1].Membership, Fleet.Now));
+  cr_assert(!inContactWithMajority(Fleet.Instances[31].Membership, Fleet.Now));
+  cr_assert(inContactWithMajority(Fleet.Instances[1].Membership, Fleet.Now));
   const membership &Apart = Fleet.Instances[35].Membership;
-  cr_assert(isHeard(Apart, *findMember(Apart, "i59"), Fleet.Now));
-  cr_assert(!isHeard(Apart, *findMember(Apart, "i1"), Fleet.Now));
+  cr_assert(isInContact(Apart, *findMember(Apart, "i59"), Fleet.Now));
+  cr_assert(!isInContact(Apart, *findMember(Apart, "i1"), Fleet.Now));
 }
 
-// Guards against telling that an instance is up, and not what it knows.
+// Guards against reporting that an instance is up without what it knows.
 Test(relays, leave_out_whoever_knows_more_than_they_pass_on) {
   fleet Fleet = makeFleet(60);
   for (fleet_instance &Instance : Fleet.Instances)
@@ -176,16 +178,16 @@
   Fleet.Instances[41].Membership.Local.Version = 5;
   run(Fleet, milliseconds(1500));
   const membership &Far = Fleet.Instances[40].Membership;
-  cr_assert(!isHeard(Far, *findMember(Far, "i41"), Fleet.Now));
-  cr_assert(isHeard(Far, *findMember(Far, "i43"), Fleet.Now));
+  cr_assert(!isInContact(Far, *findMember(Far, "i41"), Fleet.Now));
+  cr_assert(isInContact(Far, *findMember(Far, "i43"), Fleet.Now));
   for (fleet_instance &Instance : Fleet.Instances)
     Instance.Membership.Local.Version = 5;
   run(Fleet, milliseconds(1000));
-  cr_assert(isHeard(Far, *findMember(Far, "i41"), Fleet.Now));
+  cr_assert(isInContact(Far, *findMember(Far, "i41"), Fleet.Now));
   cr_assert(findMember(Far, "i41")->KnownVersion == 5);
 }
 
-// Guards against acknowledgements that are counted before they were given.
+// Guards against counting acknowledgements that were not given yet.
 Test(relays, pass_on_which_version_an_instance_has_in_force) {
   fleet Fleet = makeFleet(60);
   run(Fleet, milliseconds(2000));
@@ -201,18 +203,20 @@
   cr_assert(findMember(Far, "i43")->KnownVersion == 0);
 }
 
-// Guards against counting as heard by way of a relay that takes in no claims.
+// Guards against counting an instance as in contact through a relay that does
+// not process claims.
 Test(relays, pass_on_nothing_when_told_so) {
   fleet Fleet = makeFleet(60);
   run(Fleet, milliseconds(2000));
   for (const std::size_t Relay : relaysOf(Fleet))
-    Fleet.Instances[Relay].Membership.PassesOn = false;
+    Fleet.Instances[Relay].Membership.RelaysReports = false;
   run(Fleet, milliseconds(1500));
   const membership &Far = Fleet.Instances[40].Membership;
-  cr_assert(!isHeard(Far, *findMember(Far, "i41"), Fleet.Now));
+  cr_assert(!isInContact(Far, *findMember(Far, "i41"), Fleet.Now));
 }
 
-// Guards against positions that look younger by the time an answer waited.
+// Guards against log positions whose age leaves out the time until the answer
+// was sent.
 Test(relays, do_not_make_positions_look_younger) {
   fleet Fleet = makeFleet(60);
   run(Fleet, milliseconds(2000));
@@ -237,7 +241,8 @@
   cr_assert(false, "nobody was asked");
 }
 
-// Guards against taking a former relay's last digest for news of the dead.
+// Guards against applying the last digest of a former relay to an instance that
+// has died since.
 Test(relays, are_not_quoted_after_they_have_stopped_to_relay) {
   fleet Fleet = makeFleet(60);
   run(Fleet, milliseconds(2000));
@@ -254,7 +259,7 @@
       continue;
     const membership &Membership = Fleet.Instances[Index].Membership;
     const member *Dead = findMember(Membership, nameOf(Dying));
-    cr_assert(!isHeard(Membership, *Dead, Fleet.Now));
+    cr_assert(!isInContact(Membership, *Dead, Fleet.Now));
     cr_assert(Dead->KnownVersion < 7);
   }
 }
--- a/tests/control/share_guards_test.cpp
+++ b/tests/control/share_guards_test.cpp
@@ -1,4 +1,4 @@
-#include "share_stories.hpp"
+#include "share_fault_scenarios.hpp"
 
 #include "criterion_test.hpp"
 
@@ -6,9 +6,9 @@
 using namespace redwinggw::control;
 using namespace redwinggw::control::testing;
 
-// Each guard switched off lets one of these stories exceed the bound, so the
-// checker sees what each of them is for.
-Test(share_guards, without_each_guard_a_window_is_above) {
+// With a guard switched off, one of the scenarios exceeds the bound: this shows
+// that the check detects what each guard prevents.
+Test(share_guards, without_each_guard_a_window_exceeds_the_bound) {
   struct guard {
     const char *Name;
     void (*SwitchOff)(share_settings &);
@@ -18,26 +18,26 @@
       {"count outstanding",
        [](share_settings &Off) { Off.Shares.CountOutstanding = false; },
        loadJumpsWhileTokensAreHeld},
-      {"heed expiry",
-       [](share_settings &Off) { Off.Shares.HeedExpiry = false; },
-       holderPausesWithTokens},
+      {"check expiry",
+       [](share_settings &Off) { Off.Shares.CheckExpiry = false; },
+       consumerPausesWithTokens},
       {"match numbers",
        [](share_settings &Off) { Off.Shares.MatchNumbers = false; },
-       datagramsAreLateCrossedAndDoubled},
+       datagramsAreDelayedReorderedAndDuplicated},
       {"taker waits", [](share_settings &Off) { Off.Lease.TakerWaits = false; },
-       giverIsNotHeard},
-      {"holder heeds end",
-       [](share_settings &Off) { Off.Lease.HolderHeedsEnd = false; },
-       giverIsCutFromAll},
+       allocatorCannotSend},
+      {"holder checks end",
+       [](share_settings &Off) { Off.Lease.HolderChecksEnd = false; },
+       allocatorIsCutFromAll},
       {"extension needs majority",
        [](share_settings &Off) { Off.Lease.ExtensionNeedsMajority = false; },
-       giverIsCutFromAll},
-      {"extension heeds contact",
-       [](share_settings &Off) { Off.Lease.ExtensionHeedsContact = false; },
-       giverIsCutFromTheStore},
+       allocatorIsCutFromAll},
+      {"extension checks contact",
+       [](share_settings &Off) { Off.Lease.ExtensionChecksContact = false; },
+       allocatorIsCutFromTheStore},
       {"count from sending",
        [](share_settings &Off) { Off.Lease.CountFromSending = false; },
-       giverPausesInARenewal},
+       allocatorPausesInARenewal},
   };
   std::size_t Missed = 0;
   for (const guard &Guard : Guards) {
--- a/tests/control/sheet_test.cpp
+++ b/tests/control/sheet_test.cpp
@@ -9,7 +9,7 @@
 #include "criterion_test.hpp"
 
 using namespace redwinggw;
-using control::readSheet;
+using control::parseSheet;
 
 namespace {
 
@@ -28,7 +28,7 @@
                          "read,menu,orders,,,,,,,5000,\n"
                          "endpoint,db1,orders-db,a,127.0.0.1:7001,,,5,35,,\n";
 
-/// A fault that a sheet must be refused with.
+/// A sheet with the place of the fault that must be reported.
 struct expected_fault {
   std::string Sheet;
   std::size_t Row;
@@ -55,33 +55,33 @@
 } // namespace
 
 Test(sheet, a_quoted_sheet_reads_back_as_it_was_rendered) {
-  const auto Reading = readSheet(Good);
-  cr_assert(Reading.Configuration.has_value());
-  const control::configuration &Read = *Reading.Configuration;
+  const auto Parsed = parseSheet(Good);
+  cr_assert(Parsed.Configuration.has_value());
+  const control::configuration &Read = *Parsed.Configuration;
   cr_assert(Read.Version == 7);
   cr_assert(Read.Customers.front().Name == "Bomboane, \"dulci\"");
   cr_assert(Read.Customers.front().Rate == 99.5);
   cr_assert(Read.Keys.front().Digest == Digest);
   cr_assert(Read.Reads.front().MaxAge == base::milliseconds(5000));
   cr_assert(Read.Endpoints.front().Connections == 35);
-  cr_assert(readSheet(control::renderSheet(Read)).Configuration == Read);
+  cr_assert(parseSheet(control::renderSheet(Read)).Configuration == Read);
 }
 
 Test(sheet, exports_of_common_spreadsheets_read_alike) {
   std::string Crlf;
   for (const char Letter : Good)
     Crlf += Letter == '\n' ? "\r\n" : std::string(1, Letter);
-  const auto Plain = readSheet(Good).Configuration;
-  cr_assert(readSheet("\xEF\xBB\xBF" + Crlf).Configuration == Plain);
-  cr_assert(readSheet(Good + "\n,,,,,,,,,,\n").Configuration == Plain);
+  const auto Plain = parseSheet(Good).Configuration;
+  cr_assert(parseSheet("\xEF\xBB\xBF" + Crlf).Configuration == Plain);
+  cr_assert(parseSheet(Good + "\n,,,,,,,,,,\n").Configuration == Plain);
   const std::string NoLastBreak = Good.substr(0, Good.size() - 1);
-  cr_assert(readSheet(NoLastBreak).Configuration == Plain);
+  cr_assert(parseSheet(NoLastBreak).Configuration == Plain);
 }
 
 Test(sheet, the_documented_example_is_a_good_sheet) {
-  const auto Reading = readSheet(documentedExample());
-  cr_assert(Reading.Configuration.has_value());
-  cr_assert(!Reading.Configuration->Reads.empty());
+  const auto Parsed = parseSheet(documentedExample());
+  cr_assert(Parsed.Configuration.has_value());
+  cr_assert(!Parsed.Configuration->Reads.empty());
 }
 
 Test(sheet, each_fault_is_named_by_row_and_column) {
@@ -126,10 +126,10 @@
        "connections"},
   };
   for (const expected_fault &Case : Cases) {
-    const auto Reading = readSheet(Case.Sheet);
-    cr_assert(!Reading.Configuration);
+    const auto Parsed = parseSheet(Case.Sheet);
+    cr_assert(!Parsed.Configuration);
     const bool Named = std::ranges::any_of(
-        Reading.Faults, [&](const control::sheet_fault &Fault) {
+        Parsed.Faults, [&](const control::sheet_fault &Fault) {
           return Fault.Row == Case.Row && Fault.Column == Case.Column &&
                  !Fault.Problem.empty() && !Fault.Allowed.empty() &&
                  !Fault.Remedy.empty();
@@ -140,18 +140,18 @@
 }
 
 Test(sheet, all_faults_are_reported_at_once_in_the_order_of_rows) {
-  const auto Reading = readSheet(Good + "customer,,,,,0,0\nfoo\nread,a,b\n");
+  const auto Parsed = parseSheet(Good + "customer,,,,,0,0\nfoo\nread,a,b\n");
   std::vector<std::size_t> Rows;
-  std::ranges::transform(Reading.Faults, std::back_inserter(Rows),
+  std::ranges::transform(Parsed.Faults, std::back_inserter(Rows),
                          &control::sheet_fault::Row);
   const std::vector<std::size_t> Expected{8, 8, 8, 9, 10, 10};
   cr_assert(Rows == Expected);
 }
 
-// A planner pastes the key itself into the digest column. The refusal goes to
-// screens and logs, so it must not repeat the cell.
+// An operator pastes the key itself into the digest column. The error message
+// is displayed and logged, so it must not contain the cell.
 Test(sheet, a_key_pasted_as_digest_is_not_repeated) {
-  const auto Reading = readSheet(replaced(Good, Digest, "my-secret-key"));
-  for (const control::sheet_fault &Fault : Reading.Faults)
+  const auto Parsed = parseSheet(replaced(Good, Digest, "my-secret-key"));
+  for (const control::sheet_fault &Fault : Parsed.Faults)
     cr_assert(describe(Fault).find("my-secret-key") == std::string::npos);
 }
--- a/tests/data/connection_pool_test.cpp
+++ b/tests/data/connection_pool_test.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-constexpr std::chrono::seconds Patience{20};
+constexpr std::chrono::seconds Timeout{20};
 constexpr const char *State =
     R"({"state":{"name":"e1","role":"primary","term":1}})";
 
@@ -31,34 +31,37 @@
                        control::endpoint{"e1", "g", Address, "a", 5, 1}, 1};
 };
 
-base::task<void> takeAndKeep(endpoint_fixture &Fixture,
-                             std::vector<connection_handle> &Kept) {
-  auto Connection = co_await Fixture.Pool.take(base::now() + Patience);
+base::task<void> acquireAndKeep(endpoint_fixture &Fixture,
+                                std::vector<connection_handle> &Kept) {
+  auto Connection = co_await Fixture.Pool.acquire(base::now() + Timeout);
   if (Connection)
     Kept.push_back(std::move(*Connection));
   if (!Connection || Kept.size() == 2)
     Fixture.Context.stop();
 }
 
-base::task<void> giveBackLater(endpoint_fixture &Fixture,
-                               std::vector<connection_handle> &Kept) {
+base::task<void> releaseLater(endpoint_fixture &Fixture,
+                              std::vector<connection_handle> &Kept) {
   while (Kept.empty())
     co_await asio::post(asio::use_awaitable);
-  // A place stays in the list, so that the second one ends the test.
-  Fixture.Pool.giveBack(std::move(Kept.front()));
+  // The empty handle stays in the vector, so that the second connection makes
+  // its size 2 and ends the test.
+  Fixture.Pool.release(std::move(Kept.front()));
 }
 
 } // namespace
 
-// Requests are refused with connection_limit although each could have had a
-// connection a moment later: the only one of the limit was being opened ahead
-// of need, or was about to come back.
+// Guards against connection_limit errors for requests that could have had a
+// connection a moment later: the only connection of the limit was being opened
+// ahead of demand or was about to be released.
 Test(connection_pool, a_request_waits_for_the_last_connection) {
   endpoint_fixture Fixture;
   std::vector<connection_handle> Kept;
-  asio::co_spawn(Fixture.Context, takeAndKeep(Fixture, Kept), asio::detached);
-  asio::co_spawn(Fixture.Context, takeAndKeep(Fixture, Kept), asio::detached);
-  asio::co_spawn(Fixture.Context, giveBackLater(Fixture, Kept), asio::detached);
+  asio::co_spawn(Fixture.Context, acquireAndKeep(Fixture, Kept),
+                 asio::detached);
+  asio::co_spawn(Fixture.Context, acquireAndKeep(Fixture, Kept),
+                 asio::detached);
+  asio::co_spawn(Fixture.Context, releaseLater(Fixture, Kept), asio::detached);
   Fixture.Context.run();
   cr_assert(Kept.size() == 2);
   cr_assert(Fixture.Pool.open() == 1);
--- a/tests/data/failover_test.cpp
+++ b/tests/data/failover_test.cpp
@@ -58,9 +58,9 @@
   const std::vector<row> Rows{
       {{state("a", 5, Old), state("b", 6, Old)}, "b"},
       {{state("a", 9, Old), state("b", 5, New)}, "b"},
-      // b took over the row of term 3, but none of that term's entries.
+      // b took over the history row of term 3, but none of that term's entries.
       {{state("a", 9, Old), state("b", 4, New)}, "a"},
-      // The suspected primary is left out where the others are enough.
+      // The suspected primary is left out when the others are a majority.
       {{state("a", 5, Old), state("b", 6, Old), state("p", 9, Old)}, "b"},
       {{state("a", 5, Old), state("p", 9, Old)}, "p"},
   };
@@ -68,8 +68,9 @@
     cr_assert(chooseMember(Row.Sealed, 3, "p", {}).Name == Row.Chosen);
 }
 
-// Two instances order a promotion in the same term: the store took the first
-// claim, but its answer was lost. Only the row tells whose it is.
+// Guards against two instances that order a promotion in the same term: the
+// store accepted the first claim, but its answer was lost. Only the row shows
+// whose claim it is.
 Test(failover, a_lost_answer_is_resolved_by_reading_back_the_order) {
   struct row {
     versioned_record Read;
@@ -92,7 +93,7 @@
 
 Test(failover, a_promotion_waits_for_a_majority_of_sealed_members) {
   failover Order = newOrder();
-  Order.process(row_committed{commit_outcome::Taken, 8});
+  Order.process(row_committed{commit_outcome::Stored, 8});
   cr_assert(Order.process(sealed("a", 3)).empty());
   cr_assert(Order.step() == failover_step::Sealing);
   cr_assert(Order.process(sealed("b", 4)).size() == 1);
@@ -102,7 +103,7 @@
 
 Test(failover, a_majority_with_the_suspected_primary_waits_for_the_others) {
   failover Order = newOrder();
-  Order.process(row_committed{commit_outcome::Taken, 8});
+  Order.process(row_committed{commit_outcome::Stored, 8});
   Order.process(sealed("p", 9));
   Order.process(sealed("a", 3));
   cr_assert(Order.step() == failover_step::Sealing);
@@ -110,9 +111,9 @@
   cr_assert(Order.order().Chosen == "p");
 }
 
-// Writes stop although two databases are well: the platform's store is down,
-// so nobody may promote. That is a gap; a promotion without a claim could end
-// in two primaries of one term.
+// While the platform's store is down nothing is promoted, although two
+// databases work. The outage is accepted, because a promotion without a claim
+// could result in two primaries in one term.
 Test(failover, nothing_is_promoted_while_the_store_is_down) {
   failover Order = newOrder();
   Order.process(row_committed{});
@@ -124,7 +125,7 @@
   cr_assert(Order.step() == failover_step::GivenUp);
 }
 
-Test(failover, an_order_of_another_instance_is_left_alone_for_a_bound) {
+Test(failover, an_order_of_another_instance_is_left_alone_until_a_timeout) {
   struct row {
     failover_record Record;
     milliseconds Waited;
@@ -132,7 +133,8 @@
   };
   const std::vector<row> Rows{
       {record(1, "x", record_state::Done), milliseconds(0), true},
-      // Another instance was faster, and this one has not seen it yet.
+      // Another instance was faster, and this one has not seen the new term
+      // yet.
       {record(2, "x", record_state::Done), milliseconds(0), false},
       {record(2, "x", record_state::Done), milliseconds(1000), true},
       {record(2, "x", record_state::Ordering), milliseconds(999), false},
@@ -149,7 +151,7 @@
   }
 }
 
-Test(failover, a_returning_primary_is_made_to_follow) {
+Test(failover, a_returning_primary_is_told_to_follow) {
   group_view View;
   std::vector<control::endpoint> Endpoints(2);
   Endpoints[0].Name = "a";
@@ -160,16 +162,16 @@
   Old.Term = 1;
   endpoint_state New = state("a", 8, {{1, 0}, {5, 8}});
   New.Role = endpoint_role::Primary;
-  observe(View, Old, Start);
+  observeState(View, Old, Start);
   cr_assert(membersToReconcile(View).empty());
-  observe(View, New, Start);
+  observeState(View, New, Start);
   const auto Orders = membersToReconcile(View);
   cr_assert(Orders.size() == 1);
   cr_assert(Orders[0].Member.Name == "p" && Orders[0].Term == 5);
   cr_assert(Orders[0].Order == "mine" && Orders[0].Primary.Name == "a");
 }
 
-Test(failover, a_record_survives_the_table) {
+Test(failover, a_record_survives_serialization) {
   const failover_record Record{4, "o", "i", record_state::Done, "a"};
   cr_assert(parseRecord(toText(Record)).value() == Record);
   cr_assert(parseRecord("{").has_error());
--- a/tests/data/fair_queue_test.cpp
+++ b/tests/data/fair_queue_test.cpp
@@ -19,16 +19,16 @@
   return enqueue(Queue, {Id, Customer, Deadline}, 1, Start).Queued;
 }
 
-/// Takes out the next request. Precondition: one waits.
+/// Removes the next request. Precondition: one is waiting.
 queue_ticket next(fair_queue &Queue) {
   return dequeue(Queue).value_or(queue_ticket());
 }
 
-/// Slot time that each customer got out of \p Turns turns, when a request of
-/// "slow" takes ten times as long.
-std::map<std::string, microseconds> served(fair_queue &Queue, int Turns) {
+/// Slot time that each customer got for \p Requests requests, when a request
+/// of "slow" takes ten times as long as the others.
+std::map<std::string, microseconds> served(fair_queue &Queue, int Requests) {
   std::map<std::string, microseconds> Time;
-  for (int Turn = 0; Turn < Turns; ++Turn) {
+  for (int Request = 0; Request < Requests; ++Request) {
     const queue_ticket Ticket = next(Queue);
     const microseconds Busy(Ticket.Customer == "slow" ? 5000 : 500);
     charge(Queue, Ticket.Customer, Busy);
@@ -38,7 +38,7 @@
   return Time;
 }
 
-/// A flood of 1000 requests before 5 of another customer.
+/// 1000 requests of one customer, followed by 5 of another.
 fair_queue flooded(queue_policy Policy) {
   fair_queue Queue;
   Queue.Settings.Policy = Policy;
@@ -49,30 +49,30 @@
   return Queue;
 }
 
-/// How many requests are served before the calm customer's five are.
-int turnsUntilCalmIsServed(fair_queue Queue) {
+/// How many requests are served until all five of the customer "calm" are.
+int requestsUntilCalmIsServed(fair_queue Queue) {
   int Left = 5;
-  int Turns = 0;
-  for (; Left > 0; ++Turns)
+  int Requests = 0;
+  for (; Left > 0; ++Requests)
     Left -= next(Queue).Customer == "calm" ? 1 : 0;
-  return Turns;
+  return Requests;
 }
 
 } // namespace
 
-// One customer sends several times its rate. Its requests fill the queue, and
-// those of the others, who did nothing wrong, wait behind them.
+// Guards against a customer that sends several times its rate: its requests
+// would fill the queue and delay those of customers within their rate.
 Test(fair_queue, a_flood_does_not_delay_another_customer) {
-  cr_assert(turnsUntilCalmIsServed(flooded(queue_policy::Fair)) <= 15);
-  // The baseline shows that the test sees the fault.
-  cr_assert(turnsUntilCalmIsServed(flooded(queue_policy::Fifo)) == 1005);
+  cr_assert(requestsUntilCalmIsServed(flooded(queue_policy::Fair)) <= 15);
+  // The Fifo baseline shows that the test detects the failure.
+  cr_assert(requestsUntilCalmIsServed(flooded(queue_policy::Fifo)) == 1005);
 }
 
-// One customer's statements are ten times as slow. Counted by requests, it
-// would get ten times the slot time of the others.
-Test(fair_queue, turns_are_counted_by_slot_time) {
+// Guards against counting by requests: a customer whose statements are ten
+// times as slow would get ten times the slot time of the others.
+Test(fair_queue, shares_are_measured_in_slot_time) {
   fair_queue Queue;
-  // Both always have requests waiting; one that has none gets no turn.
+  // Both customers always have waiting requests; one without any is not served.
   for (std::uint64_t Id = 0; Id < 20; ++Id)
     add(Queue, Id, Id % 2 == 0 ? "slow" : "quick");
   const auto Time = served(Queue, 5000);
@@ -81,7 +81,7 @@
   cr_assert(Ratio > 0.9 && Ratio < 1.1);
 }
 
-Test(fair_queue, a_request_whose_turn_comes_too_late_is_refused_at_once) {
+Test(fair_queue, a_request_that_would_start_too_late_is_refused_at_once) {
   fair_queue Queue;
   for (std::uint64_t Id = 0; Id < 100; ++Id)
     add(Queue, Id, "a");
@@ -91,10 +91,10 @@
   cr_assert(Answer.RetryAfter >= milliseconds(10));
 }
 
-Test(fair_queue, memory_is_bounded_for_each_customer_and_in_all) {
+Test(fair_queue, queue_length_is_bounded_per_customer_and_in_total) {
   fair_queue Queue;
-  Queue.Settings.PerCustomer = 3;
-  Queue.Settings.Total = 5;
+  Queue.Settings.MaxPerCustomer = 3;
+  Queue.Settings.MaxTotal = 5;
   for (std::uint64_t Id = 0; Id < 3; ++Id)
     cr_assert(add(Queue, Id, "a"));
   cr_assert(!add(Queue, 3, "a"));
--- a/tests/data/statement_core_test.cpp
+++ b/tests/data/statement_core_test.cpp
@@ -36,10 +36,10 @@
 
 } // namespace
 
-// A key is withdrawn while its requests wait in a queue. The operator was told
-// that it is out of force; the waiting requests run all the same, because they
-// were checked when they arrived.
-Test(statement_core, a_withdrawal_reaches_requests_that_wait) {
+// Guards against requests that run after the operator was told that their key
+// is out of force: the key was withdrawn while they were queued, and it had
+// been checked only on arrival.
+Test(statement_core, a_key_withdrawal_stops_queued_requests) {
   core_fixture Fixture;
   call Call = queuedCall();
   cr_assert(isKeyInForce(Fixture.Core, Call));
@@ -49,9 +49,9 @@
   cr_assert(!isKeyInForce(Fixture.Core, Call));
 }
 
-// The same, but the store did not answer the withdrawal. The instance takes
-// the key out of force at once, under the version it has.
-Test(statement_core, a_withdrawal_of_unknown_outcome_reaches_them_too) {
+// The same, when the store did not answer the withdrawal: the instance revokes
+// the key at once, under the configuration version that it has.
+Test(statement_core, a_withdrawal_of_unknown_outcome_stops_them_too) {
   core_fixture Fixture;
   call Call = queuedCall();
   cr_assert(isKeyInForce(Fixture.Core, Call));
@@ -60,9 +60,9 @@
   cr_assert(!isKeyInForce(Fixture.Core, Call));
 }
 
-// An id of a key is given again, to another customer. A request that waits
-// under the old key must not run for the new customer, or at all.
-Test(statement_core, a_key_given_anew_is_another_key) {
+// Guards against a queued request that runs for the wrong customer: its key's
+// id was assigned again, to another customer. The request must not run at all.
+Test(statement_core, a_key_id_assigned_again_is_another_key) {
   core_fixture Fixture;
   call Call = queuedCall();
   cr_assert(isKeyInForce(Fixture.Core, Call));
@@ -71,14 +71,14 @@
   cr_assert(!isKeyInForce(Fixture.Core, Call));
 }
 
-// The process was paused while a request waited in a queue. Its key may have
-// been withdrawn meanwhile; the configuration in memory cannot tell.
+// Guards against a key that was withdrawn while the process was paused and its
+// request queued: the configuration in memory does not show the withdrawal yet.
 Test(statement_core, a_request_that_waited_through_a_pause_does_not_run) {
   core_fixture Fixture;
   call Call = queuedCall();
   cr_assert(mayStillRun(Fixture.Core, Call).has_value());
   Fixture.Current = false;
-  const auto May = mayStillRun(Fixture.Core, Call);
-  cr_assert(May.has_error());
-  cr_assert(kindOf(May.error()) == base::errc::StaleConfiguration);
+  const auto Allowed = mayStillRun(Fixture.Core, Call);
+  cr_assert(Allowed.has_error());
+  cr_assert(kindOf(Allowed.error()) == base::errc::StaleConfiguration);
 }
--- a/tests/matrix/failover_scenario.cpp
+++ b/tests/matrix/failover_scenario.cpp
@@ -8,7 +8,7 @@
 
 using base::milliseconds;
 
-/// Ways in which the first primary fails.
+/// Number of ways in which the first primary fails.
 constexpr std::uint64_t Triggers = 7;
 constexpr milliseconds TriggerAt{1000};
 constexpr milliseconds HealAfter{3000};
@@ -31,7 +31,7 @@
       Net.Cuts.emplace(Other, To);
 }
 
-std::vector<node> everybody() {
+std::vector<node> allNodes() {
   std::vector<node> All = Endpoints;
   std::ranges::copy(Instances, std::back_inserter(All));
   All.push_back(TableNode);
@@ -46,14 +46,14 @@
   World.Net.Cuts.clear();
   World.Net.Silent.clear();
   World.Net.Delay = base::microseconds(1500);
-  World.Net.Doubles = false;
+  World.Net.Duplicates = false;
   World.Table.Down = false;
   World.Table.Slow = milliseconds(0);
 }
 
-/// Leaves \p Endpoint and \p Instance alone with each other.
-void splitWith(network &Net, const node &Endpoint, const node &Instance) {
-  for (const node &Member : everybody()) {
+/// Isolates \p Endpoint and \p Instance together from all other nodes.
+void isolatePair(network &Net, const node &Endpoint, const node &Instance) {
+  for (const node &Member : allNodes()) {
     if (Member == Endpoint || Member == Instance)
       continue;
     for (const node &Alone : {Endpoint, Instance}) {
@@ -63,7 +63,7 @@
   }
 }
 
-/// What puts an end to the first primary.
+/// Makes the first primary fail.
 void trigger(world &World, std::uint64_t Kind) {
   network &Net = World.Net;
   const node Primary = "a";
@@ -75,26 +75,26 @@
     pause(Net, Primary);
     break;
   case 2:
-    cut(Net, Primary, everybody());
-    cutFrom(Net, everybody(), Primary);
+    cut(Net, Primary, allNodes());
+    cutFrom(Net, allNodes(), Primary);
     break;
   case 3:
     cut(Net, Primary, Endpoints);
     cutFrom(Net, Endpoints, Primary);
     break;
   case 4:
-    cut(Net, Primary, everybody());
+    cut(Net, Primary, allNodes());
     break;
   case 5:
     cutFrom(Net, Instances, Primary);
     break;
   default:
-    splitWith(Net, Primary, Instances.front());
+    isolatePair(Net, Primary, Instances.front());
     break;
   }
 }
 
-void strike(world &World, fault Fault, const node &Instance) {
+void injectFault(world &World, fault Fault, const node &Instance) {
   network &Net = World.Net;
   const node &Endpoint = Endpoints[Net.pick(Endpoints.size())];
   switch (Fault) {
@@ -105,8 +105,8 @@
     pause(Net, Instance);
     break;
   case fault::CutInstance:
-    cut(Net, Instance, everybody());
-    cutFrom(Net, everybody(), Instance);
+    cut(Net, Instance, allNodes());
+    cutFrom(Net, allNodes(), Instance);
     break;
   case fault::KillEndpoint:
     Net.Killed.insert(Endpoint);
@@ -116,13 +116,13 @@
     break;
   case fault::CutOneWay:
     if (Net.pick(2) == 0)
-      cut(Net, Endpoint, everybody());
+      cut(Net, Endpoint, allNodes());
     else
-      cutFrom(Net, everybody(), Endpoint);
+      cutFrom(Net, allNodes(), Endpoint);
     break;
   case fault::CutBothWays:
-    cut(Net, Endpoint, everybody());
-    cutFrom(Net, everybody(), Endpoint);
+    cut(Net, Endpoint, allNodes());
+    cutFrom(Net, allNodes(), Endpoint);
     break;
   case fault::SilentConnections:
     for (const node &Member : Endpoints)
@@ -140,17 +140,17 @@
   case fault::AnswerLost:
     World.Table.LoseAnswers = 3;
     break;
-  case fault::Doubled:
-    Net.Doubles = true;
+  case fault::Duplicated:
+    Net.Duplicates = true;
     break;
-  case fault::Crossed:
+  case fault::Reordered:
     Net.Delay = milliseconds(40);
     break;
   case fault::TwoAtOnce: {
     const auto First = static_cast<fault>(Net.pick(FaultNames.size() - 2));
     const auto Second = static_cast<fault>(Net.pick(FaultNames.size() - 2));
-    strike(World, First, Instance);
-    strike(World, Second, Instances[Net.pick(Instances.size())]);
+    injectFault(World, First, Instance);
+    injectFault(World, Second, Instances[Net.pick(Instances.size())]);
     break;
   }
   case fault::ClockStep:
@@ -158,7 +158,7 @@
   }
 }
 
-/// Whether the group can be expected to take writes at the end.
+/// Whether the group is expected to accept writes at the end.
 bool shouldServe(const world &World) {
   const auto IsKilled = [&](const node &Node) {
     return World.Net.Killed.contains(Node);
@@ -187,7 +187,7 @@
 } // namespace
 
 cell_run runFailover(const failover_run &Run) {
-  // Each cell has a course of its own, also before the fault strikes.
+  // Each cell has its own random sequence, even before the fault is injected.
   const auto Cell = static_cast<std::uint64_t>(Run.Fault) * StepNames.size() +
                     static_cast<std::uint64_t>(Run.Step);
   world World(Run.Seed * FaultNames.size() * StepNames.size() + Cell);
@@ -197,14 +197,14 @@
   const base::instant Begin = World.Net.Now;
   World.OnStep = [&](step Step, const node &Instance) {
     const bool Early = World.Net.Now < Begin + TriggerAt - milliseconds(5);
-    if (Result.Struck || Step != Run.Step || Early)
+    if (Result.Injected || Step != Run.Step || Early)
       return;
-    Result.Struck = true;
-    strike(World, Run.Fault, Instance);
+    Result.Injected = true;
+    injectFault(World, Run.Fault, Instance);
     World.Net.after(HealAfter, "healer", [&World] { heal(World); });
   };
   startWorld(World);
-  // Some runs lose the answer to the first claim as well.
+  // In some runs the answer to the first claim is lost as well.
   World.Net.after(TriggerAt, "healer", [&] {
     trigger(World, World.Net.pick(Triggers));
     const bool Loses =
@@ -216,7 +216,7 @@
   World.Net.runUntil(End);
   World.LoadOn = false;
   World.Net.runUntil(End + QuietFor);
-  judge(World);
+  checkHistory(World);
   if (shouldServe(World) && !servesAtTheEnd(World, End))
     World.History.Broken.insert("writes go on");
   Result.Broken = World.History.Broken;
@@ -235,8 +235,8 @@
                        "no write doubled", "one primary a term",
                        "one order a term", "no stale read",
                        "writes go on"};
-  // The decisions read the monotonic clock only; a step of the wall clock has
-  // nothing to act on here.
+  // The code under test reads only the monotonic clock, so a step of the wall
+  // clock has no effect here.
   Scenario.NotCovered = {fault::ClockStep};
   Scenario.Run = [Apply](fault Fault, std::size_t Step, std::uint64_t Seed) {
     failover_run Run;
@@ -258,7 +258,7 @@
       {"term check in confirm", "no write lost",
        [](failover_run &Run) { Run.Confirm.CheckTerm = false; }},
       {"fresh confirmation for reads", "no stale read",
-       [](failover_run &Run) { Run.Confirm.CheckFresh = false; }},
+       [](failover_run &Run) { Run.Confirm.CheckCurrent = false; }},
       {"seal majority", "no write lost",
        [](failover_run &Run) { Run.Failover.SealMajority = false; }},
       {"choose most advanced", "no write lost",
--- a/tests/matrix/instance_model.cpp
+++ b/tests/matrix/instance_model.cpp
@@ -9,24 +9,24 @@
 using base::milliseconds;
 using data::failover_step;
 
-constexpr milliseconds PollEvery{100};
-constexpr milliseconds PollDeadline{250};
+constexpr milliseconds PollInterval{100};
+constexpr milliseconds PollTimeout{250};
 constexpr milliseconds StoreTimeout{1000};
-constexpr milliseconds SuperviseEvery{25};
-constexpr milliseconds Pace{10};
+constexpr milliseconds SuperviseInterval{25};
+constexpr milliseconds QueryDelay{10};
 
 const data::detector_parameters DetectorParameters;
 
-void reach(world &World, const instance_model &Instance, step Step) {
+void reportStep(world &World, const instance_model &Instance, step Step) {
   if (World.OnStep)
     World.OnStep(Step, Instance.Name);
 }
 
-/// Asks an endpoint something that it serves by \p Serve, which tells whether
-/// it accepted; the answer carries the state after it.
-void control(world &World, instance_model &Instance, const node &Member,
-             data::member_request Request,
-             std::function<bool(endpoint_model &)> Serve);
+/// Sends an endpoint a request that \p Serve handles and accepts or refuses;
+/// the answer carries the endpoint's state afterwards.
+void sendCommand(world &World, instance_model &Instance, const node &Member,
+                 data::member_request Request,
+                 std::function<bool(endpoint_model &)> Serve);
 
 void process(world &World, instance_model &Instance,
              const data::failover_event &Event);
@@ -46,7 +46,7 @@
     }
     return Result;
   };
-  // A slow store takes effect late and answers late.
+  // With a slow store, commits take effect late and answers arrive late.
   const node Name = Instance.Name;
   World.Net.after(World.Table.Slow, TableNode, [&World, Name, Answer, Done] {
     World.Net.call<Reply>(Name, TableNode, Answer, Done, StoreTimeout);
@@ -70,7 +70,7 @@
       if (Command.Version && *Command.Version != Table.Version)
         return data::row_committed{data::commit_outcome::Conflict, 0};
       Table.Value = data::toText(Command.Record);
-      return data::row_committed{data::commit_outcome::Taken, ++Table.Version};
+      return data::row_committed{data::commit_outcome::Stored, ++Table.Version};
     };
     askTable<data::row_committed>(
         World, Instance, Serve,
@@ -92,17 +92,19 @@
         World.History.Orders.emplace(Command.Term, Command.Order);
     if (!New && Known->second != Command.Order)
       World.History.Broken.insert("one order a term");
-    control(World, Instance, Command.Member.Name, data::member_request::Seal,
-            [Command](endpoint_model &Endpoint) {
-              return serveSeal(Endpoint, Command.Term, Command.Order);
-            });
+    sendCommand(World, Instance, Command.Member.Name,
+                data::member_request::Seal,
+                [Command](endpoint_model &Endpoint) {
+                  return serveSeal(Endpoint, Command.Term, Command.Order);
+                });
   }
 
   void operator()(const data::promote_member &Command) const {
-    control(World, Instance, Command.Member.Name, data::member_request::Promote,
-            [World = &World, Command](endpoint_model &Endpoint) {
-              return servePromote(*World, Endpoint, Command);
-            });
+    sendCommand(World, Instance, Command.Member.Name,
+                data::member_request::Promote,
+                [World = &World, Command](endpoint_model &Endpoint) {
+                  return servePromote(*World, Endpoint, Command);
+                });
   }
 
   void operator()(const data::follow_member &Command) const {
@@ -113,9 +115,9 @@
   }
 };
 
-void control(world &World, instance_model &Instance, const node &Member,
-             data::member_request Request,
-             std::function<bool(endpoint_model &)> Serve) {
+void sendCommand(world &World, instance_model &Instance, const node &Member,
+                 data::member_request Request,
+                 std::function<bool(endpoint_model &)> Serve) {
   const base::instant AskedAt = World.Net.Now;
   const auto Answer = [&World, Member,
                        Serve]() -> std::optional<data::member_answered> {
@@ -131,11 +133,11 @@
     Event.Member = Member;
     Event.Request = Request;
     if (Event.State)
-      takeState(World, Instance, *Event.State, {}, AskedAt);
+      applyState(World, Instance, *Event.State, {}, AskedAt);
     process(World, Instance, Event);
   };
   World.Net.call<data::member_answered>(Instance.Name, Member, Answer, Done,
-                                        PollDeadline);
+                                        PollTimeout);
 }
 
 void noteStep(world &World, instance_model &Instance, failover_step Now) {
@@ -149,7 +151,7 @@
   if (std::exchange(Instance.LastStep, Now) == Now)
     return;
   if (const auto Found = Steps.find(Now); Found != Steps.end())
-    reach(World, Instance, Found->second);
+    reportStep(World, Instance, Found->second);
 }
 
 void process(world &World, instance_model &Instance,
@@ -160,7 +162,7 @@
   for (const data::failover_command &Command : Commands)
     std::visit(executor{World, Instance}, Command);
   noteStep(World, Instance, Instance.Order->step());
-  if (data::isOver(Instance.Order->step()))
+  if (data::isFinal(Instance.Order->step()))
     Instance.Order.reset();
 }
 
@@ -169,7 +171,7 @@
                      World.Net.Now) != data::suspicion_cause::None;
 }
 
-bool isAgreedHere(const world &World, const instance_model &Instance) {
+bool isQuorumReached(const world &World, const instance_model &Instance) {
   std::vector<data::peer_report> Reports;
   std::ranges::transform(
       Instance.Reports, std::back_inserter(Reports), [&](const auto &Entry) {
@@ -178,7 +180,8 @@
         return data::peer_report{
             Name, std::chrono::duration_cast<milliseconds>(Age), Report.second};
       });
-  return isAgreed({"g", Instance.View.Term}, Reports, DetectorParameters);
+  return isSuspectedByQuorum({"g", Instance.View.Term}, Reports,
+                             DetectorParameters);
 }
 
 void startOrder(world &World, instance_model &Instance,
@@ -214,19 +217,21 @@
 }
 
 void supervise(world &World, instance_model &Instance) {
-  World.Net.after(SuperviseEvery, Instance.Name,
+  World.Net.after(SuperviseInterval, Instance.Name,
                   [&] { supervise(World, Instance); });
   observeGroup(Instance.Detector, Instance.View, World.Net.Now);
   process(World, Instance, data::time_passed{World.Net.Now});
   if (!isSuspected(World, Instance))
     return;
-  reach(World, Instance, step::Suspected);
-  if (!Instance.Order && !Instance.Preparing && isAgreedHere(World, Instance))
+  reportStep(World, Instance, step::Suspected);
+  if (!Instance.Order && !Instance.Preparing &&
+      isQuorumReached(World, Instance))
     prepareOrder(World, Instance);
 }
 
 void report(world &World, instance_model &Instance) {
-  World.Net.after(PollEvery, Instance.Name, [&] { report(World, Instance); });
+  World.Net.after(PollInterval, Instance.Name,
+                  [&] { report(World, Instance); });
   std::vector<data::suspicion> Suspicions;
   if (isSuspected(World, Instance))
     Suspicions.push_back({"g", Instance.View.Term});
@@ -247,59 +252,59 @@
   };
   const auto Done = [&World, &Instance, Member, AskedAt](auto Answer) {
     if (Answer)
-      takeState(World, Instance, *Answer, {}, AskedAt);
+      applyState(World, Instance, *Answer, {}, AskedAt);
     else
       observeFailure(Instance.View, Member, AskedAt);
-    World.Net.after(PollEvery, Instance.Name, [&World, &Instance, Member] {
+    World.Net.after(PollInterval, Instance.Name, [&World, &Instance, Member] {
       poll(World, Instance, Member);
     });
   };
   World.Net.call<data::endpoint_state>(Instance.Name, Member, Serve, Done,
-                                       PollDeadline);
+                                       PollTimeout);
 }
 
-void askReplica(world &World, instance_model &Instance,
-                const data::confirm_question &Question) {
+void queryReplica(world &World, instance_model &Instance,
+                  const data::confirm_query &Query) {
   const base::instant AskedAt = World.Net.Now;
-  const node Member = Question.Member;
+  const node Member = Query.Member;
   const auto Serve = [&World, Member] {
     return std::optional(World.Endpoints.at(Member).State);
   };
-  const auto Done = [&World, &Instance, Question, AskedAt](auto Answer) {
+  const auto Done = [&World, &Instance, Query, AskedAt](auto Answer) {
     if (Answer)
-      takeState(World, Instance, *Answer, Question.Lane, AskedAt);
+      applyState(World, Instance, *Answer, Query.QueryKind, AskedAt);
     else
-      carryOut(
+      perform(
           World, Instance,
-          onConfirmFailure(Instance.Confirm, Question.Member, Question.Lane));
+          onConfirmFailure(Instance.Confirm, Query.Member, Query.QueryKind));
   };
   World.Net.call<data::endpoint_state>(Instance.Name, Member, Serve, Done,
-                                       PollDeadline);
+                                       PollTimeout);
 }
 
 } // namespace
 
-void carryOut(world &World, instance_model &Instance,
-              data::confirm_actions Actions) {
+void perform(world &World, instance_model &Instance,
+             data::confirm_actions Actions) {
   for (const data::confirm_finished &Finished : Actions.Finished) {
-    auto Found = Instance.Confirming.extract(Finished.Id);
+    auto Found = Instance.ConfirmationWaits.extract(Finished.Id);
     if (Found)
       Found.mapped()(Finished.Outcome.has_value());
   }
-  for (const data::confirm_question &Question : Actions.Questions)
-    World.Net.after(Question.Paced ? Pace : milliseconds(1), Instance.Name,
-                    [&World, &Instance, Question] {
-                      askReplica(World, Instance, Question);
-                    });
+  for (const data::confirm_query &Query : Actions.Queries)
+    World.Net.after(
+        Query.Delayed ? QueryDelay : milliseconds(1), Instance.Name,
+        [&World, &Instance, Query] { queryReplica(World, Instance, Query); });
 }
 
-void takeState(world &World, instance_model &Instance,
-               const data::endpoint_state &Told,
-               std::optional<data::confirm_lane> Lane, base::instant AskedAt) {
-  observe(Instance.View, Told, AskedAt);
+void applyState(world &World, instance_model &Instance,
+                const data::endpoint_state &Reported,
+                std::optional<data::confirm_query_kind> QueryKind,
+                base::instant AskedAt) {
+  observeState(Instance.View, Reported, AskedAt);
   observeGroup(Instance.Detector, Instance.View, World.Net.Now);
-  carryOut(World, Instance,
-           onConfirmAnswer(Instance.Confirm, Told, Lane, AskedAt));
+  perform(World, Instance,
+          onConfirmAnswer(Instance.Confirm, Reported, QueryKind, AskedAt));
 }
 
 void startInstance(world &World, instance_model &Instance) {
--- a/tests/matrix/matrix.cpp
+++ b/tests/matrix/matrix.cpp
@@ -48,7 +48,7 @@
   std::uint64_t Failed = 0;
   for (std::uint64_t Seed = 1; Seed <= Seeds; ++Seed) {
     const cell_run Run = Scenario.Run(Fault, Step, Seed);
-    if (!Run.Struck)
+    if (!Run.Injected)
       continue;
     ++(Run.Broken.empty() ? Passed : Failed);
     for (const std::string &Promise : Run.Broken) {
@@ -114,7 +114,7 @@
 int main(int Count, char **Values) {
   const options Options = parseOptions(Count, Values);
   std::vector<scenario> Scenarios = scenarios();
-  // Scenarios without a guard fail on purpose, so they run only when named.
+  // Scenarios without a safety check fail by design, so they run only by name.
   if (!Options.Scenario.empty())
     std::ranges::move(mutatedFailoverScenarios(),
                       std::back_inserter(Scenarios));
--- a/tests/matrix/world.cpp
+++ b/tests/matrix/world.cpp
@@ -30,19 +30,21 @@
   return Instance;
 }
 
-/// The log that the group goes on with: the primary's of the highest term.
-const endpoint_model *survivor(const world &World) {
+/// The live primary of the highest term, whose log the group continues with.
+const endpoint_model *livePrimary(const world &World) {
   const endpoint_model *Best = nullptr;
   for (const auto &[Name, Endpoint] : World.Endpoints) {
-    const bool Stands = Endpoint.State.Role == data::endpoint_role::Primary &&
-                        !World.Net.Killed.contains(Name);
-    if (Stands && (Best == nullptr || Endpoint.State.Term > Best->State.Term))
+    const bool IsCurrentPrimary =
+        Endpoint.State.Role == data::endpoint_role::Primary &&
+        !World.Net.Killed.contains(Name);
+    if (IsCurrentPrimary &&
+        (Best == nullptr || Endpoint.State.Term > Best->State.Term))
       Best = &Endpoint;
   }
   return Best;
 }
 
-void judgeLog(world &World, const std::vector<log_entry> &Log) {
+void checkLog(world &World, const std::vector<log_entry> &Log) {
   std::set<std::string> &Broken = World.History.Broken;
   std::map<base::log_position, write_id> ByPosition;
   for (const history::acknowledged &Write : World.History.Writes) {
@@ -77,7 +79,8 @@
 
 void startWorld(world &World) {
   for (const auto &Entry : World.Endpoints)
-    World.ShipEvery[Entry.first] = base::milliseconds(2 + World.Net.pick(60));
+    World.ShipInterval[Entry.first] =
+        base::milliseconds(2 + World.Net.pick(60));
   for (const auto &From : World.Endpoints)
     for (const auto &To : World.Endpoints)
       shipLog(World, From.first, To.first);
@@ -88,19 +91,19 @@
   }
 }
 
-void judge(world &World) {
-  if (const endpoint_model *Survivor = survivor(World)) {
-    judgeLog(World, Survivor->Log);
+void checkHistory(world &World) {
+  if (const endpoint_model *Primary = livePrimary(World)) {
+    checkLog(World, Primary->Log);
     return;
   }
-  // Without a primary the group must at least be able to go on with all that
-  // was acknowledged: some live log of a majority holds it.
+  // Without a primary the group must still be able to continue with everything
+  // that was acknowledged: some live log of a majority holds it.
   const auto Longest =
       std::ranges::max_element(World.Endpoints, {}, [](const auto &Entry) {
         return std::pair(data::lastEntryTerm(Entry.second.State),
                          Entry.second.Log.size());
       });
-  judgeLog(World, Longest->second.Log);
+  checkLog(World, Longest->second.Log);
 }
 
 } // namespace redwinggw::matrix
--- a/tests/process/failover_process_test.cpp
+++ b/tests/process/failover_process_test.cpp
@@ -24,7 +24,7 @@
   Fleet.setFault(FirstPrimary, Fault);
 }
 
-/// Waits until the callers were told "done" for more writes.
+/// Waits until another endpoint is the primary.
 void waitForAnotherPrimary(running_fleet &Fleet) {
   const bool Replaced = eventually([&] {
     const auto *Primary = Fleet.primaryOf(Group);
@@ -35,9 +35,9 @@
   cr_assert(Replaced);
 }
 
-/// Writes through both instances while \p Break, and then \p Heal, happen;
-/// then compares what the callers were told with the data of the primary.
-void disturb(const step &Break, const step &Heal) {
+/// Writes through both instances during \p Break and then \p Heal; then
+/// compares the outcomes that the callers got with the data of the primary.
+void writeThroughFault(const step &Break, const step &Heal) {
   running_fleet Fleet(smallPlan());
   Fleet.start();
   std::vector<redwinggw::http::address> Instances;
@@ -48,60 +48,61 @@
   constexpr std::int64_t OtherMarks = 1'000'000;
   background_writer Other(caller(customerKey("aterro"), "orders"), Instances,
                           OtherMarks);
-  cr_assert(writesGoOn(Fleet, Writer));
+  cr_assert(writesContinue(Fleet, Writer));
   Break(Fleet);
   waitForAnotherPrimary(Fleet);
-  cr_assert(writesGoOn(Fleet, Writer));
+  cr_assert(writesContinue(Fleet, Writer));
   Heal(Fleet);
-  cr_assert(writesGoOn(Fleet, Writer));
+  cr_assert(writesContinue(Fleet, Writer));
   auto Records = Writer.stop();
   std::ranges::copy(Other.stop(), std::back_inserter(Records));
   const auto *Primary = Fleet.primaryOf(Group);
   cr_assert(Primary != nullptr);
-  const auto Lies = lies(Fleet, Primary->Name, Records);
-  for (const std::string &Lie : Lies)
-    std::cerr << Lie << "\n";
-  cr_assert(Lies.empty());
+  const auto Violations = consistencyViolations(Fleet, Primary->Name, Records);
+  for (const std::string &Violation : Violations)
+    std::cerr << Violation << "\n";
+  cr_assert(Violations.empty());
 }
 
-void nothing(running_fleet &) {}
+void doNothing(running_fleet &) {}
 
 } // namespace
 
-// The primary's machine dies while callers write. A caller sees a gap; each
-// write that was told "done" is there afterwards, once.
+// The primary's machine dies while callers write. Callers see a pause; each
+// write that was reported as "done" is there afterwards, once.
 Test(failover, a_killed_primary_loses_no_acknowledged_write) {
-  disturb(
+  writeThroughFault(
       [](running_fleet &Fleet) {
         Fleet.endpoint(FirstPrimary).Process->signal(SIGKILL);
       },
-      nothing);
+      doNothing);
 }
 
-// The network parts the primary from the instances, but not from its replicas,
-// and later heals. The old primary still believes to be one.
+// A network partition separates the primary from the instances, but not from
+// its replicas, and later heals. The old primary still takes itself for the
+// primary.
 Test(failover, a_primary_cut_from_instances_is_replaced) {
-  disturb(
+  writeThroughFault(
       [](running_fleet &Fleet) {
         setFault(Fleet, {{"kind", "cut"}, {"peer", "instances"}});
       },
       [](running_fleet &Fleet) { setFault(Fleet, {{"kind", "none"}}); });
 }
 
-// The primary answers the instances but its log reaches no replica. What it
-// commits now would be lost with it, so nothing of it may be acknowledged.
+// The primary answers the instances, but its log reaches no replica. Its
+// commits would be lost with it, so none of them may be acknowledged.
 Test(failover, a_primary_cut_from_its_replicas_acknowledges_nothing) {
-  disturb(
+  writeThroughFault(
       [](running_fleet &Fleet) {
         setFault(Fleet, {{"kind", "cut"}, {"peer", "endpoints"}});
       },
       [](running_fleet &Fleet) { setFault(Fleet, {{"kind", "none"}}); });
 }
 
-// The primary's process stands still, is replaced, and wakes up with requests
-// in its hands that it finishes as if no time had passed.
+// The primary's process is stopped, replaced and resumed. It then finishes the
+// requests that it had received before as if no time had passed.
 Test(failover, a_primary_that_wakes_up_replaced_acknowledges_nothing) {
-  disturb(
+  writeThroughFault(
       [](running_fleet &Fleet) {
         Fleet.endpoint(FirstPrimary).Process->signal(SIGSTOP);
       },
