--- a/tests/session/fake_endpoint.hpp
+++ b/tests/session/fake_endpoint.hpp
@@ -12,12 +12,12 @@
 #include <string>
 #include <vector>
 
-/// A group of databases without sockets: links record what runs where and
-/// answer as a script says.
+/// A database group without sockets: links record which statements run where
+/// and answer as a script decides.
 namespace redwinggw::session::testing {
 
-/// One statement as an endpoint saw it.
-struct seen_statement {
+/// One statement as an endpoint received it.
+struct received_statement {
   std::string Endpoint;
   std::string Customer;
   std::string Id;
@@ -28,18 +28,18 @@
 
 struct fake_group {
   /// Answers the next statements; afterwards all succeed.
-  std::function<std::optional<exchange>(const seen_statement &)> Script;
-  std::vector<seen_statement> Seen;
-  /// The endpoint takes no connection above so many.
-  std::size_t MostConnections = SIZE_MAX;
+  std::function<std::optional<exchange>(const received_statement &)> Script;
+  std::vector<received_statement> Received;
+  /// The endpoints accept no more connections than this.
+  std::size_t MaxConnections = SIZE_MAX;
   std::size_t Connected = 0;
   std::size_t Refusals = 0;
   log_point Point{1, 100};
   std::size_t Connections = 0;
 
-  std::vector<seen_statement> callersOwn() const {
-    std::vector<seen_statement> Found;
-    for (const seen_statement &Statement : Seen)
+  std::vector<received_statement> callerStatements() const {
+    std::vector<received_statement> Found;
+    for (const received_statement &Statement : Received)
       if (!Statement.Id.empty())
         Found.push_back(Statement);
     return Found;
@@ -81,7 +81,7 @@
                             std::string_view Customer, base::instant) override {
     Endpoint = Entry.Name;
     this->Customer = Customer;
-    if (Group.Connected >= Group.MostConnections) {
+    if (Group.Connected >= Group.MaxConnections) {
       ++Group.Refusals;
       co_return refused(answer_code::TooMany);
     }
@@ -93,9 +93,9 @@
   base::task<exchange> run(std::string_view Id, std::string_view Text,
                            std::optional<log_point> After,
                            base::instant) override {
-    seen_statement Statement{Endpoint,          Customer, std::string(Id),
-                             std::string(Text), After,    Number};
-    Group.Seen.push_back(Statement);
+    received_statement Statement{Endpoint,          Customer, std::string(Id),
+                                 std::string(Text), After,    Number};
+    Group.Received.push_back(Statement);
     if (Group.Script)
       if (auto Scripted = Group.Script(Statement)) {
         Usable = Scripted->Outcome == exchange_outcome::Answered;
@@ -142,12 +142,13 @@
   bool Usable = true;
 };
 
-/// A core before one service "s" with the endpoints p (primary), r1 and r2.
-struct bench_core {
-  bench_core() : bench_core(OwnContext, OwnGroup) {}
+/// A session core in front of one service "s" with the endpoints p (primary),
+/// r1 and r2.
+struct core_fixture {
+  core_fixture() : core_fixture(OwnContext, OwnGroup) {}
 
-  /// A core that shares its loop and its endpoints with others.
-  bench_core(boost::asio::io_context &Context, fake_group &Group)
+  /// A core that shares its event loop and its endpoints with others.
+  core_fixture(boost::asio::io_context &Context, fake_group &Group)
       : Context(Context), Group(Group),
         Set(Context.get_executor(), "z1",
             [&Group] { return std::make_unique<fake_link>(Group); }),
@@ -161,7 +162,7 @@
       Entry.Slots = 5;
       Entries.push_back(Entry);
     }
-    applyList(Set, Entries, base::now());
+    updateEndpoints(Set, Entries, base::now());
     auto Table = std::make_shared<route_table>();
     Table->Version = 1;
     addRoute(*Table, "strict", consistency::Primary);
@@ -176,15 +177,15 @@
     Core.Ports.Settle = [this](std::string_view, bool Ran) {
       Returned += Ran ? 0 : 1;
     };
-    Core.Ports.Right = [this](std::string_view) { return Right; };
-    Core.Ports.StillHolds = [this](const primary_right &Given) {
-      return Right && *Right == Given;
+    Core.Ports.PrimaryLease = [this](std::string_view) { return PrimaryLease; };
+    Core.Ports.StillHolds = [this](const primary_lease &Given) {
+      return PrimaryLease && *PrimaryLease == Given;
     };
     Core.Ports.PrimaryExpected = [](std::string_view) {
       return std::optional<base::milliseconds>();
     };
-    Core.Ports.NoteTrouble = [this](std::string_view Name) {
-      Troubles.emplace_back(Name);
+    Core.Ports.NoteEndpointProblem = [this](std::string_view Name) {
+      Problems.emplace_back(Name);
     };
   }
 
@@ -210,13 +211,13 @@
     return Session;
   }
 
-  /// Whether the last session was refused so.
+  /// Whether the last session was refused with \p Code.
   bool openedWith(answer_code Code) const {
     return OpenError && OpenError->Code == Code;
   }
 
-  /// Runs one statement to its answer, and the loop until it is idle. A shared
-  /// loop has work for ever: it is left with the answer.
+  /// Runs one statement to its answer, and the event loop until it is idle. A
+  /// shared loop always has work: it is left with the answer.
   answer run(caller_session &Session, statement_kind Kind, std::string Text,
              std::string Name = {}, std::string Operand = {}) {
     statement Statement{"id" + std::to_string(++LastId), Kind, std::move(Text),
@@ -225,7 +226,7 @@
     std::optional<answer> Answer;
     boost::asio::co_spawn(
         Context,
-        [](bench_core &Self, caller_session &Session, statement Statement,
+        [](core_fixture &Self, caller_session &Session, statement Statement,
            std::optional<answer> &Answer) -> base::task<void> {
           Answer = co_await serve(Self.Core, Session, std::move(Statement),
                                   base::now());
@@ -252,12 +253,12 @@
   endpoint_set Set;
   session_core Core;
   route_table_ptr Routes;
-  std::optional<primary_right> Right = primary_right{"s", "p", 1};
+  std::optional<primary_lease> PrimaryLease = primary_lease{"s", "p", 1};
   bool Admitted = true;
-  /// Operations whose part of the rate was given back.
+  /// Operations that were refunded to the rate.
   unsigned Returned = 0;
   std::optional<answer_error> OpenError;
-  std::vector<std::string> Troubles;
+  std::vector<std::string> Problems;
   unsigned LastId = 0;
 };
 
--- a/tests/session/relay_codec_test.cpp
+++ b/tests/session/forwarding_codec_test.cpp
@@ -1,4 +1,4 @@
-#include "redwinggw/session/statement_relay.hpp"
+#include "redwinggw/session/statement_forwarding.hpp"
 #include "redwinggw/wire/signature.hpp"
 
 #include <random>
@@ -13,8 +13,8 @@
 
 const std::string Secret = "the fleet's secret";
 
-relay_request fullRequest() {
-  relay_request Request;
+forwarding_request fullRequest() {
+  forwarding_request Request;
   Request.Endpoint = "i-1";
   Request.Customer = "acme";
   Request.Statement.Action = link_action::Caller;
@@ -24,15 +24,15 @@
   Request.Statement.Prepared = "WRITE q2c";
   Request.Statement.Arguments = "1a4 xkq";
   Request.Statement.After = log_point{3, 70'000};
-  Request.Statement.Right = primary_right{"s", "i-1", 12};
+  Request.Statement.PrimaryLease = primary_lease{"s", "i-1", 12};
   Request.TimeLeft = base::milliseconds(480);
   Request.Patience = base::milliseconds(30);
   return Request;
 }
 
-relay_reply fullReply() {
-  relay_reply Reply;
-  Reply.Failure = relay_failure::None;
+forwarding_reply fullReply() {
+  forwarding_reply Reply;
+  Reply.Failure = forwarding_failure::None;
   Reply.Exchange.Outcome = exchange_outcome::Answered;
   Reply.Exchange.Answer.Rows = {"qhz", "", std::string(70'000, 'x')};
   Reply.Exchange.Answer.Signature = "7.1f3.c";
@@ -44,7 +44,7 @@
 
 } // namespace
 
-Test(relay_codec, keeps_a_request) {
+Test(forwarding_codec, round_trips_a_request) {
   const auto Read = decodeRequest(Secret, encodeRequest(Secret, fullRequest()));
   cr_assert(Read);
   const link_statement &Statement = Read->Statement;
@@ -54,12 +54,12 @@
   cr_assert(Statement.Prepared == "WRITE q2c");
   cr_assert(Statement.Arguments == "1a4 xkq");
   cr_assert(Statement.After == log_point({3, 70'000}));
-  cr_assert(Statement.Right == primary_right({"s", "i-1", 12}));
+  cr_assert(Statement.PrimaryLease == primary_lease({"s", "i-1", 12}));
   cr_assert(Read->TimeLeft == base::milliseconds(480));
   cr_assert(Read->Patience == base::milliseconds(30));
 }
 
-Test(relay_codec, keeps_a_reply) {
+Test(forwarding_codec, round_trips_a_reply) {
   const auto Read = decodeReply(Secret, encodeReply(Secret, fullReply()));
   cr_assert(Read && Read->Load == 700);
   const answer &Answer = Read->Exchange.Answer;
@@ -69,23 +69,24 @@
   cr_assert(Answer.Point == log_point({3, 300}));
 }
 
-Test(relay_codec, keeps_an_error) {
-  relay_reply Reply;
+Test(forwarding_codec, round_trips_an_error) {
+  forwarding_reply Reply;
   Reply.Exchange.Outcome = exchange_outcome::Answered;
   Reply.Exchange.Answer.Error = answer_error{answer_code::TooLarge, "a reason"};
   const auto Read = decodeReply(Secret, encodeReply(Secret, Reply));
-  const auto Error = Read.value_or(relay_reply()).Exchange.Answer.Error;
+  const auto Error = Read.value_or(forwarding_reply()).Exchange.Answer.Error;
   cr_assert(Error && Error->Code == answer_code::TooLarge &&
             Error->Reason == "a reason");
 }
 
-// Anybody who reaches the port could otherwise run statements as any customer.
-Test(relay_codec, refuses_another_secret) {
+// Without this check anybody who reaches the port could run statements as any
+// customer.
+Test(forwarding_codec, refuses_another_secret) {
   cr_assert(!decodeRequest("guessed", encodeRequest(Secret, fullRequest())));
   cr_assert(!decodeReply("guessed", encodeReply(Secret, fullReply())));
 }
 
-Test(relay_codec, refuses_what_was_cut_or_changed) {
+Test(forwarding_codec, refuses_truncated_or_changed_bytes) {
   const std::string Bytes = encodeRequest(Secret, fullRequest());
   for (std::size_t Length = 0; Length < Bytes.size(); ++Length)
     cr_assert(!decodeRequest(Secret, Bytes.substr(0, Length)));
@@ -96,9 +97,9 @@
   }
 }
 
-// An instance of another version signs rightly but speaks otherwise: whatever
-// its bytes say, reading them must end, in bounded memory.
-Test(relay_codec, survives_signed_nonsense) {
+// An instance of another version signs correctly but encodes differently:
+// whatever its bytes are, decoding them must end, in bounded memory.
+Test(forwarding_codec, survives_signed_garbage) {
   std::mt19937 Random(4711);
   const std::string SignedRequest = encodeRequest(Secret, fullRequest());
   const std::string SignedReply = encodeReply(Secret, fullReply());
--- a/tests/session/relay_test.cpp
+++ b/tests/session/forwarding_test.cpp
@@ -1,5 +1,5 @@
-#include "redwinggw/session/relay_host.hpp"
-#include "redwinggw/session/relay_links.hpp"
+#include "redwinggw/session/forwarding_client.hpp"
+#include "redwinggw/session/forwarding_server.hpp"
 
 #include "fake_endpoint.hpp"
 
@@ -17,60 +17,60 @@
 
 constexpr std::string_view Secret = "secret";
 
-/// An owner of all endpoints and instances that pass their statements on to
-/// it, over real connections, in one loop.
-struct relay_fleet {
-  explicit relay_fleet(std::size_t Instances = 1)
+/// An owner of all endpoints and instances that forward their statements to it,
+/// over real connections, in one event loop.
+struct forwarding_fleet {
+  explicit forwarding_fleet(std::size_t Instances = 1)
       : Owner(Context, Group),
         Server(Context.get_executor(), Owner.Core, std::string(Secret)) {
     Address = Server.listen({"127.0.0.1", 0}).value();
     for (std::size_t Index = 0; Index < Instances; ++Index)
       add();
   }
-  ~relay_fleet() {
+  ~forwarding_fleet() {
     Server.stop();
     Context.poll();
   }
 
   void add() {
-    bench_core &Instance = Instances.emplace_back(Context, Group);
-    Links.push_back(std::make_unique<relay_links>(
+    core_fixture &Instance = Instances.emplace_back(Context, Group);
+    Links.push_back(std::make_unique<forwarding_client>(
         Context.get_executor(), Instance.Set.Watch, std::string(Secret)));
-    Instance.Core.Ports.Relay =
+    Instance.Core.Ports.Forward =
         [this, Via = Links.back().get()](
             const endpoint_entry &Entry, std::string_view Customer,
-            unsigned Priority) -> std::unique_ptr<relay_link> {
+            unsigned Priority) -> std::unique_ptr<forwarding_link> {
       if (!Via->isUsable("owner", base::now()))
         return nullptr;
-      return Via->to({"owner", Address}, Entry.Name, std::string(Customer),
-                     Priority);
+      return Via->linkTo({"owner", Address}, Entry.Name, std::string(Customer),
+                         Priority);
     };
   }
 
-  bench_core &first() { return Instances.front(); }
+  core_fixture &first() { return Instances.front(); }
 
-  /// Takes a turn on the slots. Precondition: one is free.
-  slot_pass take(const pool_ptr &Pool) {
-    slot_pass Pass;
+  /// Takes a slot. Precondition: one is free.
+  slot_grant take(const pool_ptr &Pool) {
+    slot_grant Grant;
     boost::asio::co_spawn(
         Context,
-        [](pool_ptr Pool, slot_pass &Pass) -> base::task<void> {
-          Pass = co_await takeTurn(Pool, slot_level::Normal, "acme",
-                                   base::now() + base::milliseconds(50));
-        }(Pool, Pass),
+        [](pool_ptr Pool, slot_grant &Grant) -> base::task<void> {
+          Grant = co_await acquireSlot(Pool, slot_level::Normal, "acme",
+                                       base::now() + base::milliseconds(50));
+        }(Pool, Grant),
         boost::asio::detached);
-    while (!Pass)
+    while (!Grant)
       Context.run_one();
-    return Pass;
+    return Grant;
   }
 
   boost::asio::io_context Context;
   fake_group Group;
-  bench_core Owner;
-  relay_server Server;
+  core_fixture Owner;
+  forwarding_server Server;
   http::address Address;
-  std::deque<bench_core> Instances;
-  std::deque<std::unique_ptr<relay_links>> Links;
+  std::deque<core_fixture> Instances;
+  std::deque<std::unique_ptr<forwarding_client>> Links;
 };
 
 bool failedWith(const answer &Answer, answer_code Code) {
@@ -79,37 +79,37 @@
 
 std::size_t connectionsOf(const fake_group &Group) {
   std::set<std::size_t> Numbers;
-  for (const seen_statement &Statement : Group.Seen)
+  for (const received_statement &Statement : Group.Received)
     Numbers.insert(Statement.Connection);
   return Numbers.size();
 }
 
 } // namespace
 
-// Callers at nine instances, of two customers, write and read in turn. Each
-// customer needs a connection to an endpoint, and not each instance one for
-// each customer: that would be eighteen to the primary alone.
-Test(relay, serves_many_instances_over_few_connections) {
-  relay_fleet Fleet(9);
+// Callers of two customers write and read at nine instances. Each customer
+// needs one connection to an endpoint, not one for each instance: that would be
+// eighteen to the primary alone.
+Test(forwarding, serves_many_instances_over_few_connections) {
+  forwarding_fleet Fleet(9);
   constexpr std::size_t Rounds = 20;
   for (std::size_t Round = 0; Round < Rounds; ++Round)
-    for (bench_core &Instance : Fleet.Instances)
+    for (core_fixture &Instance : Fleet.Instances)
       for (const char *Key : {"key", "key2"}) {
         caller_session Session = Instance.open("own", Key);
         cr_assert(!Instance.write(Session).Error);
         cr_assert(!Instance.read(Session).Error);
       }
-  cr_assert(Fleet.Group.callersOwn().size() == 36 * Rounds);
+  cr_assert(Fleet.Group.callerStatements().size() == 36 * Rounds);
   cr_assert(Fleet.Group.Connections <= 6);
-  for (const seen_statement &Statement : Fleet.Group.Seen)
+  for (const received_statement &Statement : Fleet.Group.Received)
     cr_assert(Statement.Customer == "acme" || Statement.Customer == "bolt");
 }
 
 // A session's values and prepared statements go with each of its statements,
-// and another session's never show.
-Test(relay, sets_up_the_session_where_the_connection_is) {
-  relay_fleet Fleet;
-  bench_core &Instance = Fleet.first();
+// and another session's are never in force.
+Test(forwarding, sets_up_the_session_where_the_connection_is) {
+  forwarding_fleet Fleet;
+  core_fixture &Instance = Fleet.first();
   caller_session First = Instance.open("strict");
   caller_session Second = Instance.open("strict");
   Instance.run(First, statement_kind::Set, "SET a 1", "a", "1");
@@ -121,17 +121,17 @@
       !Instance.run(First, statement_kind::Execute, "EXECUTE s 1", "s", "1")
            .Error);
   std::vector<std::string> Texts;
-  std::ranges::transform(Fleet.Group.Seen, std::back_inserter(Texts),
-                         &seen_statement::Text);
+  std::ranges::transform(Fleet.Group.Received, std::back_inserter(Texts),
+                         &received_statement::Text);
   cr_assert(Texts == std::vector<std::string>(
                          {"SET a 1", "READ x", "RESET", "READ x", "SET a 1",
                           "PREPARE p1 READ q", "EXECUTE p1 1"}));
 }
 
-Test(relay, keeps_a_transaction_on_one_connection) {
-  relay_fleet Fleet(2);
-  bench_core &Instance = Fleet.first();
-  bench_core &Other = Fleet.Instances.back();
+Test(forwarding, keeps_a_transaction_on_one_connection) {
+  forwarding_fleet Fleet(2);
+  core_fixture &Instance = Fleet.first();
+  core_fixture &Other = Fleet.Instances.back();
   caller_session Session = Instance.open("own");
   caller_session Beside = Other.open("own");
   Instance.run(Session, statement_kind::Begin, "BEGIN");
@@ -142,79 +142,82 @@
   cr_assert(!Done.Error && Done.Signature == "proof");
   std::vector<std::size_t> Own;
   std::vector<std::size_t> Others;
-  for (const seen_statement &Statement : Fleet.Group.Seen)
+  for (const received_statement &Statement : Fleet.Group.Received)
     (Statement.Text == "WRITE x 1" && Own.size() > 1 && Others.empty() ? Others
                                                                        : Own)
         .push_back(Statement.Connection);
   cr_assert(Own.size() == 4 && Others.size() == 1);
   cr_assert(std::ranges::count(Own, Own.front()) == 4);
   cr_assert(Others.front() != Own.front());
-  cr_assert(Fleet.Server.leases() == 0);
+  cr_assert(Fleet.Server.pinnedLinks() == 0);
 }
 
-// A user pays. The owner passes the payment on and dies before its answer is
-// there: the payment may have run. It must not be sent again, by another way
-// either, nor be called "not run".
-Test(relay, never_repeats_a_write_whose_owner_went) {
-  relay_fleet Fleet;
-  bench_core &Instance = Fleet.first();
-  Fleet.Group.Script = [&](const seen_statement &) -> std::optional<exchange> {
+// The owner forwards a payment and dies before the answer is there: the payment
+// may have run. It must not be sent again, by another path either, nor be
+// reported as not run.
+Test(forwarding, never_retries_a_write_whose_owner_died) {
+  forwarding_fleet Fleet;
+  core_fixture &Instance = Fleet.first();
+  Fleet.Group.Script =
+      [&](const received_statement &) -> std::optional<exchange> {
     Fleet.Server.stop();
     return std::nullopt;
   };
   caller_session Session = Instance.open("strict");
   cr_assert(failedWith(Instance.write(Session), answer_code::InDoubt));
-  cr_assert(Fleet.Group.callersOwn().size() == 1);
+  cr_assert(Fleet.Group.callerStatements().size() == 1);
 }
 
-// The same for a read: its caller sees nothing of it.
-Test(relay, repeats_a_read_whose_owner_went) {
-  relay_fleet Fleet;
-  bench_core &Instance = Fleet.first();
+// The same for a read: it is retried, and its caller sees no error.
+Test(forwarding, retries_a_read_whose_owner_died) {
+  forwarding_fleet Fleet;
+  core_fixture &Instance = Fleet.first();
   caller_session Session = Instance.open("strict");
   bool Stopped = false;
-  Fleet.Group.Script = [&](const seen_statement &) -> std::optional<exchange> {
+  Fleet.Group.Script =
+      [&](const received_statement &) -> std::optional<exchange> {
     if (!std::exchange(Stopped, true))
       Fleet.Server.stop();
     return std::nullopt;
   };
   cr_assert(!Instance.read(Session).Error);
-  cr_assert(Fleet.Group.callersOwn().size() == 2);
+  cr_assert(Fleet.Group.callerStatements().size() == 2);
 }
 
-// The owner was stopped, and the list does not tell yet. A write that could
-// not be handed over has not run: the caller's instance goes to the endpoint
+// The owner was stopped, and the list does not show it yet. A write that could
+// not be forwarded has not run: the caller's instance connects to the endpoint
 // itself.
-Test(relay, goes_to_the_endpoint_itself_when_the_owner_is_gone) {
-  relay_fleet Fleet;
-  bench_core &Instance = Fleet.first();
+Test(forwarding, connects_directly_when_the_owner_is_gone) {
+  forwarding_fleet Fleet;
+  core_fixture &Instance = Fleet.first();
   Fleet.Server.stop();
   caller_session Session = Instance.open("strict");
   cr_assert(!Instance.write(Session).Error);
-  cr_assert(Fleet.Group.callersOwn().size() == 1);
+  cr_assert(Fleet.Group.callerStatements().size() == 1);
   cr_assert(!Fleet.Links.front()->isUsable("owner", base::now()));
 }
 
-// A write waits at the owner while the primary is replaced, and the owner knows
-// already: it must not reach the old primary any more.
-Test(relay, does_not_send_to_a_primary_that_the_owner_knows_replaced) {
-  relay_fleet Fleet;
-  bench_core &Instance = Fleet.first();
-  Fleet.Owner.Right = primary_right{"s", "r1", 2};
+// A write waits at the owner while the primary is replaced, and the owner
+// already knows: the write must not reach the old primary any more.
+Test(forwarding, does_not_send_to_a_primary_that_the_owner_knows_is_replaced) {
+  forwarding_fleet Fleet;
+  core_fixture &Instance = Fleet.first();
+  Fleet.Owner.PrimaryLease = primary_lease{"s", "r1", 2};
   caller_session Session = Instance.open("strict");
   Instance.write(Session);
-  for (const seen_statement &Statement : Fleet.Group.callersOwn())
+  for (const received_statement &Statement : Fleet.Group.callerStatements())
     cr_assert(Statement.Connection != 0);
   cr_assert(Fleet.Owner.Set.Pools.at("p")->connects() == 0);
 }
 
-// The primary is replaced while a passed-on write is under way. The owner has
-// the answer; the caller's instance must not pass it on as a success.
-Test(relay, does_not_acknowledge_a_write_of_a_replaced_primary) {
-  relay_fleet Fleet;
-  bench_core &Instance = Fleet.first();
-  Fleet.Group.Script = [&](const seen_statement &) -> std::optional<exchange> {
-    Instance.Right = primary_right{"s", "r1", 2};
+// The primary is replaced while a forwarded write is in progress. The owner has
+// the answer; the caller's instance must not report it as a success.
+Test(forwarding, does_not_acknowledge_a_write_of_a_replaced_primary) {
+  forwarding_fleet Fleet;
+  core_fixture &Instance = Fleet.first();
+  Fleet.Group.Script =
+      [&](const received_statement &) -> std::optional<exchange> {
+    Instance.PrimaryLease = primary_lease{"s", "r1", 2};
     return std::nullopt;
   };
   caller_session Session = Instance.open("strict");
@@ -222,68 +225,68 @@
 }
 
 // An instance dies with a transaction open. Its connection at the owner is
-// closed, which rolls back, and is never given to another session.
-Test(relay, rolls_back_for_an_instance_that_went) {
-  relay_fleet Fleet(2);
+// closed, which rolls back, and is never used for another session.
+Test(forwarding, rolls_back_for_an_instance_that_died) {
+  forwarding_fleet Fleet(2);
   caller_session Left = Fleet.first().open("strict");
   Fleet.first().run(Left, statement_kind::Begin, "BEGIN");
   cr_assert(!Fleet.first().write(Left).Error);
-  const std::size_t Abandoned = Fleet.Group.Seen.back().Connection;
-  cr_assert(Fleet.Server.leases() == 1);
+  const std::size_t Abandoned = Fleet.Group.Received.back().Connection;
+  cr_assert(Fleet.Server.pinnedLinks() == 1);
   Left.Transaction.reset();
-  while (Fleet.Server.leases() != 0)
+  while (Fleet.Server.pinnedLinks() != 0)
     Fleet.Context.run_one();
-  bench_core &Other = Fleet.Instances.back();
+  core_fixture &Other = Fleet.Instances.back();
   caller_session Session = Other.open("strict");
   cr_assert(!Other.write(Session).Error);
-  cr_assert(Fleet.Group.Seen.back().Connection != Abandoned);
+  cr_assert(Fleet.Group.Received.back().Connection != Abandoned);
   cr_assert(connectionsOf(Fleet.Group) == 2);
 }
 
-Test(relay, gives_the_connection_back_after_a_rollback) {
-  relay_fleet Fleet;
-  bench_core &Instance = Fleet.first();
+Test(forwarding, returns_the_connection_after_a_rollback) {
+  forwarding_fleet Fleet;
+  core_fixture &Instance = Fleet.first();
   caller_session Session = Instance.open("strict");
   for (unsigned Round = 0; Round < 3; ++Round) {
     Instance.run(Session, statement_kind::Begin, "BEGIN");
     cr_assert(!Instance.write(Session).Error);
     cr_assert(
         !Instance.run(Session, statement_kind::Rollback, "ROLLBACK").Error);
-    cr_assert(Fleet.Server.leases() == 0);
+    cr_assert(Fleet.Server.pinnedLinks() == 0);
   }
   cr_assert(Fleet.Group.Connections == 1);
 }
 
-// A transaction's statement finds no turn at the owner in its time. Its caller
-// is told that the transaction is aborted. The owner still held its connection
-// for that way, and ran the next statement on it, of another customer.
-Test(relay, ends_a_transaction_that_finds_no_turn) {
-  relay_fleet Fleet;
-  bench_core &Instance = Fleet.first();
+// A transaction's statement gets no slot at the owner in time, and its caller
+// is told that the transaction is aborted. Guards against an owner that still
+// keeps the connection pinned and runs another customer's next statement on it.
+Test(forwarding, ends_a_transaction_that_gets_no_slot) {
+  forwarding_fleet Fleet;
+  core_fixture &Instance = Fleet.first();
   caller_session Session = Instance.open("strict");
   Instance.run(Session, statement_kind::Begin, "BEGIN");
   cr_assert(!Instance.write(Session).Error);
-  const std::size_t Former = Fleet.Group.Seen.back().Connection;
+  const std::size_t Former = Fleet.Group.Received.back().Connection;
   const pool_ptr Pool = Fleet.Owner.Set.Pools.at("p");
   constexpr unsigned AllSlots = 6;
-  std::vector<slot_pass> Taken;
+  std::vector<slot_grant> Taken;
   Taken.reserve(AllSlots);
   for (unsigned Slot = 0; Slot < AllSlots; ++Slot)
     Taken.push_back(Fleet.take(Pool));
   cr_assert(failedWith(Instance.write(Session), answer_code::Aborted));
-  cr_assert(Fleet.Server.leases() == 0);
+  cr_assert(Fleet.Server.pinnedLinks() == 0);
   Taken.clear();
   caller_session Other = Instance.open("strict", "key2");
   cr_assert(!Instance.write(Other).Error);
-  const seen_statement &Last = Fleet.Group.Seen.back();
+  const received_statement &Last = Fleet.Group.Received.back();
   cr_assert(Last.Customer == "bolt" && Last.Connection != Former);
 }
 
-// An instance has just started: the others know it and pass on a transaction,
-// and it has not read the configuration yet.
-Test(relay, serves_transactions_before_the_owner_has_a_configuration) {
-  relay_fleet Fleet;
-  bench_core &Instance = Fleet.first();
+// An instance has just started: the others know it and forward a transaction to
+// it before it has read the configuration.
+Test(forwarding, serves_transactions_before_the_owner_has_a_configuration) {
+  forwarding_fleet Fleet;
+  core_fixture &Instance = Fleet.first();
   Fleet.Owner.Routes = nullptr;
   caller_session Session = Instance.open("strict");
   Instance.run(Session, statement_kind::Begin, "BEGIN");
@@ -292,19 +295,21 @@
   cr_assert(!Instance.run(Session, statement_kind::Commit, "COMMIT").Error);
 }
 
-// Guards against avoiding an endpoint for what its owner learned meanwhile.
-Test(relay, does_not_blame_an_endpoint_for_a_right_that_the_owner_lost) {
-  relay_fleet Fleet;
-  bench_core &Instance = Fleet.first();
+// Guards against avoiding an endpoint because its owner lost the lease
+// meanwhile.
+Test(forwarding, does_not_blame_an_endpoint_for_a_lease_that_the_owner_lost) {
+  forwarding_fleet Fleet;
+  core_fixture &Instance = Fleet.first();
   caller_session Session = Instance.open("strict");
   Instance.run(Session, statement_kind::Set, "SET a 1", "a", "1");
-  Fleet.Group.Script = [&](const seen_statement &) -> std::optional<exchange> {
-    Fleet.Owner.Right.reset();
-    Instance.Right.reset();
+  Fleet.Group.Script =
+      [&](const received_statement &) -> std::optional<exchange> {
+    Fleet.Owner.PrimaryLease.reset();
+    Instance.PrimaryLease.reset();
     return std::nullopt;
   };
   cr_assert(failedWith(Instance.write(Session), answer_code::Busy));
-  cr_assert(Fleet.Group.callersOwn().empty());
+  cr_assert(Fleet.Group.callerStatements().empty());
   cr_assert(Fleet.Owner.Set.Pools.at("p")->health().Failures == 0);
   cr_assert(Instance.Set.Pools.at("p")->health().Failures == 0);
 }
--- a/tests/storage/own_protocol_test.cpp
+++ b/tests/storage/own_protocol_test.cpp
@@ -1,4 +1,4 @@
-#include "common/slow_way.hpp"
+#include "common/throttled_proxy.hpp"
 #include "platform/platform.hpp"
 
 #include "redwinggw/http/server.hpp"
@@ -32,7 +32,8 @@
 
 } // namespace
 
-// Guards against a sheet that is never read because its transfer takes long.
+// Guards against a timeout that makes a large sheet unreadable over a slow
+// link.
 Test(own_protocol, reads_a_large_row_over_a_slow_link) {
   asio::io_context Context;
   const auto Executor = Context.get_executor();
@@ -42,14 +43,14 @@
                         return Platform.handle(std::move(Request));
                       });
   const http::address Address = Server.listen({"127.0.0.1", 0}).value();
-  standin::slow_way Way(Executor, Address);
-  // Twice the longest silence for the whole row, a twentieth for a chunk.
+  standin::throttled_proxy Proxy(Executor, Address);
+  // The whole row takes twice the stall timeout, a chunk a twentieth of it.
   constexpr std::size_t BytesPerSecond = 100'000;
-  constexpr base::milliseconds Silence{4000};
+  constexpr base::milliseconds StallTimeout{4000};
   constexpr base::milliseconds Long{60'000};
-  Way.setSpeed(BytesPerSecond);
+  Proxy.setSpeed(BytesPerSecond);
   storage::store Direct{Executor, Address, "i1", Long};
-  storage::store Slow{Executor, Way.address(), "i1", Silence};
+  storage::store Slow{Executor, Proxy.address(), "i1", StallTimeout};
   std::string Value;
   asio::co_spawn(Context, writeThenRead(Direct, Slow, Value),
                  [&](const std::exception_ptr &) { Context.stop(); });
--- a/tests/support/fleet_files.cpp
+++ b/tests/support/fleet_files.cpp
@@ -10,9 +10,9 @@
 
 constexpr const char *Header = "kind,name,of,zone,address,rate,burst,slots,"
                                "connections,max_age_ms,digest\n";
-/// Age that the declared read "recent" of each service accepts.
+/// Greatest age of the data that the read "recent" of each service accepts.
 constexpr unsigned RecentMs = 5000;
-/// Enough for any rate without an exponent.
+/// Significant digits, enough to write any rate without an exponent.
 constexpr int NumberDigits = 15;
 
 } // namespace
@@ -38,7 +38,7 @@
         << ",,,,,,,,,\n";
   for (const customer_plan &Customer : Plan.Customers) {
     const std::string Digest =
-        base::toHex(base::keyedDigest(FleetKey, Customer.Key));
+        base::toHex(base::hmacSha256(FleetKey, Customer.Key));
     Sheet << "customer," << Customer.Name << ",,,," << Customer.Rate << ","
           << Customer.Burst << ",,,,\n";
     Sheet << "key," << Customer.Name << "-1," << Customer.Name << ",,,,,,,,"
