--- a/tests/bench/failover_bench.cpp
+++ b/tests/bench/failover_bench.cpp
@@ -30,16 +30,16 @@
 constexpr milliseconds Steady{400};
 constexpr milliseconds Ending{1500};
 constexpr milliseconds Slice{20};
-constexpr milliseconds Patience{15'000};
+constexpr milliseconds WaitLimit{15'000};
 constexpr double MillisecondsPerMicrosecond = 0.001;
 
-enum class strike { Kill, Pause, CutFromAll, CutFromReplicas };
+enum class fault { Kill, Pause, CutFromAll, CutFromReplicas };
 
-constexpr std::array StrikeNames = std::to_array<base::enum_name<strike>>({
-    {strike::Kill, "kill"},
-    {strike::Pause, "pause"},
-    {strike::CutFromAll, "cut from all"},
-    {strike::CutFromReplicas, "cut from replicas"},
+constexpr std::array FaultNames = std::to_array<base::enum_name<fault>>({
+    {fault::Kill, "kill"},
+    {fault::Pause, "pause"},
+    {fault::CutFromAll, "cut from all"},
+    {fault::CutFromReplicas, "cut from replicas"},
 });
 
 control::configuration configurationOf(const fleet::running_fleet &Fleet) {
@@ -74,7 +74,7 @@
 
 /// Runs the instances until \p Holds, false when it does not in time.
 template <typename Condition> bool runUntil(bench_run &Run, Condition Holds) {
-  const base::instant End = base::now() + Patience;
+  const base::instant End = base::now() + WaitLimit;
   while (!Holds()) {
     if (base::now() > End)
       return false;
@@ -83,29 +83,29 @@
   return true;
 }
 
-void hit(bench_run &Run, const std::string &Primary, strike Strike) {
-  switch (Strike) {
-  case strike::Kill:
+void injectFault(bench_run &Run, const std::string &Primary, fault Fault) {
+  switch (Fault) {
+  case fault::Kill:
     Run.Fleet.endpoint(Primary).Process->signal(SIGKILL);
     break;
-  case strike::Pause:
+  case fault::Pause:
     Run.Fleet.endpoint(Primary).Process->signal(SIGSTOP);
     break;
-  case strike::CutFromAll:
+  case fault::CutFromAll:
     Run.Fleet.setFault(Primary, {{"kind", "cut"}, {"peer", "all"}});
     break;
-  case strike::CutFromReplicas:
+  case fault::CutFromReplicas:
     Run.Fleet.setFault(Primary, {{"kind", "cut"}, {"peer", "endpoints"}});
     break;
   }
 }
 
-void mend(bench_run &Run, const std::string &Primary, strike Strike) {
-  switch (Strike) {
-  case strike::Kill:
+void healFault(bench_run &Run, const std::string &Primary, fault Fault) {
+  switch (Fault) {
+  case fault::Kill:
     Run.Fleet.restartEndpoint(Primary);
     break;
-  case strike::Pause:
+  case fault::Pause:
     Run.Fleet.endpoint(Primary).Process->signal(SIGCONT);
     break;
   default:
@@ -119,7 +119,7 @@
 }
 
 /// Whether each member follows the primary and holds what it holds, nearly.
-bool isWhole(const bench_run &Run) {
+bool isGroupHealthy(const bench_run &Run) {
   constexpr base::log_position Near = 50;
   const data::group_view &View = Run.view();
   const base::log_position Longest =
@@ -151,13 +151,13 @@
         << "\n";
 }
 
-bool runRound(bench_run &Run, strike Strike) {
-  if (!runUntil(Run, [&] { return isWhole(Run); }))
+bool runRound(bench_run &Run, fault Fault) {
+  if (!runUntil(Run, [&] { return isGroupHealthy(Run); }))
     return false;
   Run.Context.run_for(Steady);
   const base::term_number Term = Run.view().Term;
   const std::string Primary = Run.view().Primary.value_or("");
-  hit(Run, Primary, Strike);
+  injectFault(Run, Primary, Fault);
   std::optional<base::microseconds> Length;
   runUntil(Run, [&] {
     Length = gapAfter(Run.Load, Term);
@@ -167,10 +167,10 @@
     return false;
   const double Gap =
       static_cast<double>(Length->count()) * MillisecondsPerMicrosecond;
-  Run.Gaps[base::nameOf(StrikeNames, Strike)].push_back(Gap);
+  Run.Gaps[base::nameOf(FaultNames, Fault)].push_back(Gap);
   Run.Gaps["all"].push_back(Gap);
   Run.Context.run_for(Steady);
-  mend(Run, Primary, Strike);
+  healFault(Run, Primary, Fault);
   return true;
 }
 
@@ -222,15 +222,15 @@
             configurationOf(Run.Fleet));
   bool Good = true;
   for (std::size_t Round = 0; Round < Rounds && Good; ++Round) {
-    const strike Strike = StrikeNames.at(Round % StrikeNames.size()).Value;
-    Good = runRound(Run, Strike);
+    const fault Fault = FaultNames.at(Round % FaultNames.size()).Value;
+    Good = runRound(Run, Fault);
     if (!Good) {
-      std::cout << "round " << Round << " ("
-                << base::nameOf(StrikeNames, Strike) << ") did not end\n";
+      std::cout << "round " << Round << " (" << base::nameOf(FaultNames, Fault)
+                << ") did not end\n";
       printMembers(Run);
     }
   }
-  Good = runUntil(Run, [&] { return isWhole(Run); }) && Good;
+  Good = runUntil(Run, [&] { return isGroupHealthy(Run); }) && Good;
   Run.Load.Stopping = true;
   Run.Context.run_for(Ending);
   printGaps(Run);
--- a/tests/bench/failover_load.cpp
+++ b/tests/bench/failover_load.cpp
@@ -18,7 +18,7 @@
 constexpr milliseconds WriteEvery{20};
 constexpr milliseconds WriteDeadline{1000};
 /// Connections to one endpoint that one instance uses at once.
-constexpr unsigned MostOpen = 5;
+constexpr unsigned MaxOpen = 5;
 /// As often as the heartbeats between instances.
 constexpr milliseconds ReportEvery{200};
 
@@ -28,7 +28,7 @@
   co_await Timer.async_wait(asio::as_tuple(asio::use_awaitable));
 }
 
-base::task<void> reportAgain(load &Load) {
+base::task<void> refreshReports(load &Load) {
   while (!Load.Stopping) {
     for (auto &Instance : Load.Instances)
       Instance->Report = {base::now(), Instance->Groups->suspicions()};
@@ -49,13 +49,13 @@
   return Reports;
 }
 
-base::task<bool> connectTo(instance &Instance, link &Link,
+base::task<bool> connectTo(instance &Instance, endpoint_connection &Connection,
                            const data::member_view &Primary,
                            base::instant Deadline) {
-  if (Link.Client.isOpen())
+  if (Connection.Client.isOpen())
     co_return true;
   const auto Connected = co_await data::connectEndpoint(
-      Link.Client, Primary.Endpoint.Address, Instance.Name, Deadline);
+      Connection.Client, Primary.Endpoint.Address, Instance.Name, Deadline);
   if (!Connected)
     Instance.LastFailure = describe(Connected.error());
   co_return Connected.has_value();
@@ -70,19 +70,20 @@
   return Request;
 }
 
-base::task<void> writeOver(load &Load, instance &Instance, link &Link,
+base::task<void> writeOver(load &Load, instance &Instance,
+                           endpoint_connection &Connection,
                            base::instant Deadline) {
   const base::instant Begun = base::now();
   const data::group_view &View = Instance.Groups->view(Load.Group);
   const data::member_view Primary =
       *findMember(View, View.Primary.value_or(""));
   const base::term_number Term = View.Term;
-  if (!co_await connectTo(Instance, Link, Primary, Deadline))
+  if (!co_await connectTo(Instance, Connection, Primary, Deadline))
     co_return;
   const std::int64_t Id = ++Load.LastId;
   const data::run_request Request = insertOf(Id, Term);
   const auto Ran =
-      co_await data::run(Link.Client, Request, Instance.Name, Deadline);
+      co_await data::run(Connection.Client, Request, Instance.Name, Deadline);
   Instance.Groups->noteTraffic(Load.Group, Primary.Endpoint.Name,
                                Ran.Answer || Ran.Failed.State, Begun);
   if (!Ran.Answer) {
@@ -100,15 +101,16 @@
 
 /// An idle connection to \p Endpoint, or one still to be opened. Those that
 /// lead elsewhere are closed: they would use up a limit that all share.
-link takeLink(load &Load, instance &Instance,
-              const base::endpoint_name &Endpoint) {
-  std::erase_if(Instance.Idle,
-                [&](const link &Link) { return Link.Endpoint != Endpoint; });
+endpoint_connection acquireConnection(load &Load, instance &Instance,
+                                      const base::endpoint_name &Endpoint) {
+  std::erase_if(Instance.Idle, [&](const endpoint_connection &Connection) {
+    return Connection.Endpoint != Endpoint;
+  });
   if (Instance.Idle.empty())
     return {http::client(Load.Executor), Endpoint};
-  link Link = std::move(Instance.Idle.back());
+  endpoint_connection Connection = std::move(Instance.Idle.back());
   Instance.Idle.pop_back();
-  return Link;
+  return Connection;
 }
 
 /// One write of one caller.
@@ -118,18 +120,18 @@
       co_await Instance.Groups->awaitPrimary(Load.Group, Deadline);
   const base::endpoint_name Primary =
       Instance.Groups->view(Load.Group).Primary.value_or("");
-  if (!Ready || Instance.Open[Primary] >= MostOpen)
+  if (!Ready || Instance.Open[Primary] >= MaxOpen)
     co_return;
-  link Link = takeLink(Load, Instance, Primary);
+  endpoint_connection Connection = acquireConnection(Load, Instance, Primary);
   ++Instance.Open[Primary];
-  co_await writeOver(Load, Instance, Link, Deadline);
+  co_await writeOver(Load, Instance, Connection, Deadline);
   --Instance.Open[Primary];
-  if (Link.Client.isOpen())
-    Instance.Idle.push_back(std::move(Link));
+  if (Connection.Client.isOpen())
+    Instance.Idle.push_back(std::move(Connection));
 }
 
 /// Callers arrive at their own pace, also while others wait.
-base::task<void> writeAgain(load &Load, instance &Instance) {
+base::task<void> issueWrites(load &Load, instance &Instance) {
   while (!Load.Stopping) {
     asio::co_spawn(Load.Executor, writeOnce(Load, Instance), asio::detached);
     co_await pauseFor(Load.Executor, WriteEvery);
@@ -155,9 +157,9 @@
         [&Load, &Asking = *Instance] { return reportsFor(Load, Asking); });
     Instance->Groups->apply(Configuration);
     Instance->Groups->start();
-    asio::co_spawn(Load.Executor, writeAgain(Load, *Instance), asio::detached);
+    asio::co_spawn(Load.Executor, issueWrites(Load, *Instance), asio::detached);
   }
-  asio::co_spawn(Load.Executor, reportAgain(Load), asio::detached);
+  asio::co_spawn(Load.Executor, refreshReports(Load), asio::detached);
 }
 
 std::optional<base::microseconds> gapAfter(const load &Load,
--- a/tests/bench/failover_load.hpp
+++ b/tests/bench/failover_load.hpp
@@ -21,13 +21,13 @@
 };
 
 /// What one instance last heard of another.
-struct heard {
+struct instance_report {
   base::instant At;
   std::vector<data::suspicion> Suspicions;
 };
 
 /// A database connection and where it leads.
-struct link {
+struct endpoint_connection {
   http::client Client;
   base::endpoint_name Endpoint;
 };
@@ -36,8 +36,8 @@
   base::instance_name Name;
   storage::store Store;
   std::unique_ptr<data::group_service> Groups;
-  heard Report;
-  std::vector<link> Idle;
+  instance_report Report;
+  std::vector<endpoint_connection> Idle;
   /// Why the last failed write failed.
   std::string LastFailure;
   std::map<base::endpoint_name, unsigned> Open;
--- a/tests/demo/demo.cpp
+++ b/tests/demo/demo.cpp
@@ -73,9 +73,9 @@
                      Customer.Name + " through " + Instance->Plan.Name +
                          ", read from the " + textIn(Read.Body, "served_by"));
     }
-  caller Stranger("a key that nobody gave", Service);
-  const reply Refused = Stranger.read(Fleet.instances().front()->Callers,
-                                      "select count(*) from bag");
+  caller UnknownCaller("a key that nobody gave", Service);
+  const reply Refused = UnknownCaller.read(Fleet.instances().front()->Callers,
+                                           "select count(*) from bag");
   Verdict.expect(outcomeOf(Refused) == "not_run",
                  "a key that nobody gave is refused");
 }
--- a/tests/load/answer_fields.cpp
+++ b/tests/load/answer_fields.cpp
@@ -29,7 +29,7 @@
                                      : std::string();
 }
 
-void nameRequest(json::object &Body) {
+void addRequestId(json::object &Body) {
   Body["request_id"] = base::randomId();
   Body["issued_at"] = base::wallMilliseconds();
 }
--- a/tests/load/answer_fields.hpp
+++ b/tests/load/answer_fields.hpp
@@ -18,6 +18,6 @@
 std::string textAt(const boost::json::object &Object, std::string_view Key);
 
 /// Gives a write its id and the time of its first try.
-void nameRequest(boost::json::object &Body);
+void addRequestId(boost::json::object &Body);
 
 } // namespace redwinggw::load
--- a/tests/load/caller.cpp
+++ b/tests/load/caller.cpp
@@ -12,7 +12,7 @@
 
 namespace json = boost::json;
 
-constexpr std::array<std::string_view, 3> ElsewhereErrors{
+constexpr std::array<std::string_view, 3> OtherInstanceErrors{
     "endpoint_unreachable", "draining", "stale_configuration"};
 
 base::outcome outcomeNamed(std::string_view Name) {
@@ -50,15 +50,15 @@
 base::task<caller_answer> caller::post(std::size_t Instance, std::string Target,
                                        std::string Key, json::object Body,
                                        base::instant Deadline) {
-  const std::size_t Place = Instance % Instances.size();
+  const std::size_t Index = Instance % Instances.size();
   http::client Client(Executor);
-  if (Idle[Place].empty()) {
-    const auto Connected = co_await Client.connect(Instances[Place], Deadline);
+  if (Idle[Index].empty()) {
+    const auto Connected = co_await Client.connect(Instances[Index], Deadline);
     if (!Connected)
       co_return answerOf(Connected.error());
   } else {
-    Client = std::move(Idle[Place].back());
-    Idle[Place].pop_back();
+    Client = std::move(Idle[Index].back());
+    Idle[Index].pop_back();
   }
   http::request Request;
   Request.Target = std::move(Target);
@@ -68,14 +68,14 @@
   if (!Response)
     co_return answerOf(Response.error());
   if (Client.isOpen())
-    Idle[Place].push_back(std::move(Client));
+    Idle[Index].push_back(std::move(Client));
   co_return answerOf(*Response);
 }
 
-bool mayGoElsewhere(const caller_answer &Answer) {
+bool mayTryAnotherInstance(const caller_answer &Answer) {
   return Answer.Outcome == base::outcome::NotRun &&
-         std::ranges::find(ElsewhereErrors, Answer.Error) !=
-             ElsewhereErrors.end();
+         std::ranges::find(OtherInstanceErrors, Answer.Error) !=
+             OtherInstanceErrors.end();
 }
 
 } // namespace redwinggw::load
--- a/tests/load/caller.hpp
+++ b/tests/load/caller.hpp
@@ -44,6 +44,6 @@
 };
 
 /// Whether another instance may serve what this one refused.
-bool mayGoElsewhere(const caller_answer &Answer);
+bool mayTryAnotherInstance(const caller_answer &Answer);
 
 } // namespace redwinggw::load
--- a/tests/load/cost_scenarios.cpp
+++ b/tests/load/cost_scenarios.cpp
@@ -30,26 +30,26 @@
   co_await Timer.async_wait(Token);
 }
 
-probe_options throughInstance(const bench &Bench) {
+probe_options instanceProbe(const scenario_environment &Environment) {
   probe_options Options;
-  Options.Address = Bench.Fleet.Callers.front();
-  Options.Service = Bench.Deployment.Services.front();
+  Options.Address = Environment.Fleet.Callers.front();
+  Options.Service = Environment.Deployment.Services.front();
   Options.Key = probeCustomer().Key;
   Options.Read = DeclaredReadName;
-  Options.Duration = Bench.Duration / 2;
+  Options.Duration = Environment.Duration / 2;
   return Options;
 }
 
 /// A replica, as the reads through the instance go to one.
-probe_options straight(const bench &Bench) {
+probe_options endpointProbe(const scenario_environment &Environment) {
   probe_options Options;
-  Options.Address = Bench.Fleet.Databases.at(1).Address;
-  Options.Duration = Bench.Duration / 2;
+  Options.Address = Environment.Fleet.Databases.at(1).Address;
+  Options.Duration = Environment.Duration / 2;
   return Options;
 }
 
-double cpuOf(const bench &Bench, std::size_t Instance) {
-  const auto Cost = costOf(Bench.Fleet.Instances.at(Instance));
+double cpuOf(const scenario_environment &Environment, std::size_t Instance) {
+  const auto Cost = costOf(Environment.Fleet.Instances.at(Instance));
   return Cost ? Cost->CpuSeconds : 0;
 }
 
@@ -66,15 +66,18 @@
   return static_cast<double>(quantile(Report.Latency, 0.99).count());
 }
 
-base::task<void> compareLatency(bench &Bench, recorder &Recorder) {
-  probe_options Straight = straight(Bench);
-  probe_options Through = throughInstance(Bench);
-  for (probe_options *Options : {&Straight, &Through}) {
+base::task<void> compareLatency(scenario_environment &Environment,
+                                recorder &Recorder) {
+  probe_options DirectOptions = endpointProbe(Environment);
+  probe_options ProxiedOptions = instanceProbe(Environment);
+  for (probe_options *Options : {&DirectOptions, &ProxiedOptions}) {
     Options->Rate = ProbeRate;
     Options->Connections = ProbeConnections;
   }
-  const probe_report Direct = co_await probe(Bench.Executor, Straight);
-  const probe_report Proxied = co_await probe(Bench.Executor, Through);
+  const probe_report Direct =
+      co_await probe(Environment.Executor, DirectOptions);
+  const probe_report Proxied =
+      co_await probe(Environment.Executor, ProxiedOptions);
   noteFailures(Recorder, Direct);
   noteFailures(Recorder, Proxied);
   Recorder.note("straight p50", "us", medianOf(Direct));
@@ -83,16 +86,21 @@
   Recorder.note("added p99", "us", p99Of(Proxied) - p99Of(Direct));
 }
 
-base::task<void> compareThroughput(bench &Bench, recorder &Recorder) {
-  probe_options Straight = straight(Bench);
-  Straight.Connections = Bench.Deployment.Slots;
-  probe_options Through = throughInstance(Bench);
-  Through.Connections = BusyConnections;
-  const probe_report Direct = co_await probe(Bench.Executor, Straight);
+base::task<void> compareThroughput(scenario_environment &Environment,
+                                   recorder &Recorder) {
+  probe_options DirectOptions = endpointProbe(Environment);
+  DirectOptions.Connections = Environment.Deployment.Slots;
+  probe_options ProxiedOptions = instanceProbe(Environment);
+  ProxiedOptions.Connections = BusyConnections;
+  const probe_report Direct =
+      co_await probe(Environment.Executor, DirectOptions);
   double Before = 0;
-  Through.OnStart = [&Before, &Bench] { Before = cpuOf(Bench, 0); };
-  const probe_report Proxied = co_await probe(Bench.Executor, Through);
-  const double Cpu = cpuOf(Bench, 0) - Before;
+  ProxiedOptions.OnStart = [&Before, &Environment] {
+    Before = cpuOf(Environment, 0);
+  };
+  const probe_report Proxied =
+      co_await probe(Environment.Executor, ProxiedOptions);
+  const double Cpu = cpuOf(Environment, 0) - Before;
   noteFailures(Recorder, Direct);
   noteFailures(Recorder, Proxied);
   const auto Done = static_cast<double>(Proxied.Done);
@@ -121,17 +129,19 @@
   double PeerBytes = 0;
 };
 
-base::task<running_cost> costNow(bench &Bench, std::size_t Instance) {
-  constexpr std::chrono::seconds Patience{2};
+base::task<running_cost> costNow(scenario_environment &Environment,
+                                 std::size_t Instance) {
+  constexpr std::chrono::seconds RequestTimeout{2};
   running_cost Cost;
   Cost.Process =
-      costOf(Bench.Fleet.Instances[Instance]).value_or(process_cost{});
+      costOf(Environment.Fleet.Instances[Instance]).value_or(process_cost{});
   http::request Request;
   Request.Method = "GET";
   Request.Target = "/operators/metrics";
-  const base::instant Deadline = base::now() + Patience;
+  const base::instant Deadline = base::now() + RequestTimeout;
   const auto Answer = co_await http::exchangeOnce(
-      Bench.Executor, Bench.Fleet.Operators.at(Instance), Request, Deadline);
+      Environment.Executor, Environment.Fleet.Operators.at(Instance), Request,
+      Deadline);
   if (Answer)
     Cost.PeerBytes = sumOfMetric(Answer->Body, "redwinggw_peer_bytes_total");
   co_return Cost;
@@ -139,24 +149,26 @@
 
 } // namespace
 
-base::task<void> runProbes(bench &Bench) {
-  recorder Recorder{Bench, "small reads", {}};
-  co_await compareLatency(Bench, Recorder);
-  co_await compareThroughput(Bench, Recorder);
+base::task<void> runProbes(scenario_environment &Environment) {
+  recorder Recorder{Environment, "small reads", {}};
+  co_await compareLatency(Environment, Recorder);
+  co_await compareThroughput(Environment, Recorder);
 }
 
-base::task<void> runConnections(bench &Bench, std::size_t Connections) {
+base::task<void> runConnections(scenario_environment &Environment,
+                                std::size_t Connections) {
   constexpr double Rate = 4000;
-  recorder Recorder{Bench, std::to_string(Connections) + " connections", {}};
-  probe_options Options = throughInstance(Bench);
+  recorder Recorder{
+      Environment, std::to_string(Connections) + " connections", {}};
+  probe_options Options = instanceProbe(Environment);
   Options.Connections = Connections;
   Options.Rate = Rate;
-  Options.Duration = Bench.Duration;
+  Options.Duration = Environment.Duration;
   double Before = 0;
-  Options.OnStart = [&Before, &Bench] { Before = cpuOf(Bench, 0); };
-  const probe_report Report = co_await probe(Bench.Executor, Options);
-  const double Cpu = cpuOf(Bench, 0) - Before;
-  const auto Cost = costOf(Bench.Fleet.Instances.front());
+  Options.OnStart = [&Before, &Environment] { Before = cpuOf(Environment, 0); };
+  const probe_report Report = co_await probe(Environment.Executor, Options);
+  const double Cpu = cpuOf(Environment, 0) - Before;
+  const auto Cost = costOf(Environment.Fleet.Instances.front());
   noteFailures(Recorder, Report);
   Recorder.note(
       "instance's CPU a statement", "us",
@@ -169,46 +181,48 @@
                   Cost->MemoryBytes / Megabyte);
 }
 
-base::task<void> runCold(bench &Bench) {
-  constexpr std::chrono::seconds Quiet{3};
-  constexpr std::chrono::seconds Patience{5};
-  recorder Recorder{Bench, "after a quiet time", {}};
-  co_await pause(Bench.Executor, Quiet);
-  caller Caller(Bench.Executor, Bench.Fleet.Callers);
-  const customer_load Customer = customersOf(Bench.Deployment, 0).back();
+base::task<void> runCold(scenario_environment &Environment) {
+  constexpr std::chrono::seconds IdleTime{3};
+  constexpr std::chrono::seconds RequestTimeout{5};
+  recorder Recorder{Environment, "after a quiet time", {}};
+  co_await pause(Environment.Executor, IdleTime);
+  caller Caller(Environment.Executor, Environment.Fleet.Callers);
+  const customer_load Customer = customersOf(Environment.Deployment, 0).back();
   boost::json::object Body;
-  Body["service"] = Bench.Deployment.Services.front();
+  Body["service"] = Environment.Deployment.Services.front();
   Body["sql"] = "select 1";
   Body["session"] = "none";
   Body["read"] = DeclaredReadName;
-  for (std::size_t Place = 0; Place < Caller.instances(); ++Place) {
+  for (std::size_t Index = 0; Index < Caller.instances(); ++Index) {
     const base::instant Start = base::now();
     const caller_answer Answer = co_await Caller.post(
-        Place, "/v1/statement", Customer.Key, Body, Start + Patience);
+        Index, "/v1/statement", Customer.Key, Body, Start + RequestTimeout);
     Recorder.note(Answer.isDone() ? "first read at an instance"
                                   : "first read refused: " + Answer.Error,
                   "us", static_cast<double>((base::now() - Start).count()));
   }
 }
 
-base::task<void> runIdle(bench &Bench) {
-  recorder Recorder{Bench, "idle", {}};
+base::task<void> runIdle(scenario_environment &Environment) {
+  recorder Recorder{Environment, "idle", {}};
   std::vector<running_cost> Before;
-  Before.reserve(Bench.Fleet.Instances.size());
-  for (std::size_t Place = 0; Place < Bench.Fleet.Instances.size(); ++Place)
-    Before.push_back(co_await costNow(Bench, Place));
-  co_await pause(Bench.Executor, Bench.Duration);
-  const double Seconds = std::chrono::duration<double>(Bench.Duration).count();
+  Before.reserve(Environment.Fleet.Instances.size());
+  for (std::size_t Index = 0; Index < Environment.Fleet.Instances.size();
+       ++Index)
+    Before.push_back(co_await costNow(Environment, Index));
+  co_await pause(Environment.Executor, Environment.Duration);
+  const double Seconds =
+      std::chrono::duration<double>(Environment.Duration).count();
   constexpr double Percent = 100;
-  for (std::size_t Place = 0; Place < Before.size(); ++Place) {
-    const running_cost After = co_await costNow(Bench, Place);
+  for (std::size_t Index = 0; Index < Before.size(); ++Index) {
+    const running_cost After = co_await costNow(Environment, Index);
     const double Cpu =
-        After.Process.CpuSeconds - Before[Place].Process.CpuSeconds;
+        After.Process.CpuSeconds - Before[Index].Process.CpuSeconds;
     Recorder.note("CPU an instance", "% of a core", Percent * Cpu / Seconds);
     Recorder.note("memory an instance", "MB",
                   After.Process.MemoryBytes / Megabyte);
     Recorder.note("bytes to and from peers an instance", "B/s",
-                  (After.PeerBytes - Before[Place].PeerBytes) / Seconds);
+                  (After.PeerBytes - Before[Index].PeerBytes) / Seconds);
   }
 }
 
--- a/tests/load/deployment.hpp
+++ b/tests/load/deployment.hpp
@@ -40,7 +40,7 @@
 constexpr const char *DeclaredReadName = "recent";
 
 /// A database and where it listens.
-struct database_place {
+struct database_endpoint {
   std::string Name;
   std::string Service;
   http::address Address;
--- a/tests/load/driver.cpp
+++ b/tests/load/driver.cpp
@@ -22,7 +22,7 @@
 using base::milliseconds;
 
 constexpr auto Token = asio::as_tuple(asio::use_awaitable);
-constexpr milliseconds RepeatPause{100};
+constexpr milliseconds RetryPause{100};
 constexpr milliseconds RefusedPause{250};
 constexpr milliseconds Grace{1000};
 constexpr int CheckTries = 40;
@@ -91,7 +91,7 @@
     const instant Deadline = base::now() + Options.Deadline + Grace;
     Answer =
         co_await Caller.post(Instance, Target, keyOf(Session), Body, Deadline);
-    if (!mayGoElsewhere(Answer))
+    if (!mayTryAnotherInstance(Answer))
       break;
   }
   co_return Answer;
@@ -140,7 +140,7 @@
     session Session;
     Session.Service = Service;
     json::object Body = bodyFor(Session, "write");
-    nameRequest(Body);
+    addRequestId(Body);
     Body["sql"] = CreateSql;
     caller_answer Answer;
     for (int Try = 0; Try < CheckTries && !Answer.isDone(); ++Try) {
@@ -196,7 +196,7 @@
 }
 
 base::task<load_report> driver::run() {
-  co_await sendAll(base::now() + RepeatPause);
+  co_await sendAll(base::now() + RetryPause);
   co_await checkEnd();
   load_report Report = reportOf(Plan, std::move(Records));
   Report.Violations = Violations;
--- a/tests/load/driver.hpp
+++ b/tests/load/driver.hpp
@@ -15,7 +15,7 @@
 struct driver_options {
   base::milliseconds Deadline{2000};
   /// An unknown write is repeated for so long, then asked after, then given up.
-  base::milliseconds GiveUp{15'000};
+  base::milliseconds ResolveTimeout{15'000};
   /// Sends each customer's requests to one instance only, as a skewed
   /// balancer does.
   bool OneInstance = false;
--- a/tests/load/driver_requests.cpp
+++ b/tests/load/driver_requests.cpp
@@ -11,7 +11,7 @@
 using base::milliseconds;
 using base::outcome;
 
-constexpr milliseconds RepeatPause{100};
+constexpr milliseconds RetryPause{100};
 constexpr milliseconds Grace{1000};
 
 constexpr const char *AddSql =
@@ -60,26 +60,26 @@
                                           request_record &Record,
                                           std::string Target,
                                           json::object Body) {
-  const instant Until = base::now() + Options.GiveUp;
+  const instant Until = base::now() + Options.ResolveTimeout;
   Body.erase("session");
-  json::object Enquiry;
-  Enquiry["service"] = Body["service"];
-  Enquiry["request_id"] = Body["request_id"];
-  Enquiry["issued_at"] = Body["issued_at"];
+  json::object OutcomeQuery;
+  OutcomeQuery["service"] = Body["service"];
+  OutcomeQuery["request_id"] = Body["request_id"];
+  OutcomeQuery["issued_at"] = Body["issued_at"];
   // A transaction cannot be repeated blindly: it is only asked after.
-  const bool Repeatable = Target == "/v1/statement";
+  const bool Retryable = Target == "/v1/statement";
   caller_answer Answer;
   while (base::now() < Until) {
-    co_await pause(RepeatPause);
-    ++Record.Repeats;
-    if (Repeatable)
+    co_await pause(RetryPause);
+    ++Record.Retries;
+    if (Retryable)
       Answer = co_await tryInstances(Session, Target, Body);
     else
-      Answer = co_await tryInstances(Session, "/v1/outcome", Enquiry);
+      Answer = co_await tryInstances(Session, "/v1/outcome", OutcomeQuery);
     if (Answer.isDone() || Answer.Error == "request_cancelled")
       co_return Answer;
   }
-  Answer = co_await tryInstances(Session, "/v1/outcome", Enquiry);
+  Answer = co_await tryInstances(Session, "/v1/outcome", OutcomeQuery);
   if (!Answer.isDone() && Answer.Error != "request_cancelled")
     Answer.Outcome = outcome::Unknown;
   co_return Answer;
@@ -102,7 +102,7 @@
 base::task<void> driver::performWrite(session &Session,
                                       request_record &Record) {
   json::object Body = bodyFor(Session, "write");
-  nameRequest(Body);
+  addRequestId(Body);
   Body["sql"] = AddSql;
   Body["params"] =
       json::array{Session.Id, Plan.Customers[Session.Customer].Name};
@@ -117,7 +117,7 @@
 base::task<void> driver::performTransaction(session &Session,
                                             request_record &Record) {
   json::object Begin = bodyFor(Session, "write");
-  nameRequest(Begin);
+  addRequestId(Begin);
   std::size_t Instance = nextInstance(Session);
   const auto Deadline = [this] {
     return base::now() + Options.Deadline + Grace;
@@ -126,7 +126,7 @@
   for (std::size_t Try = 0; Try < Caller.instances(); ++Try, ++Instance) {
     Answer = co_await Caller.post(Instance, "/v1/begin", keyOf(Session), Begin,
                                   Deadline());
-    if (!mayGoElsewhere(Answer))
+    if (!mayTryAnotherInstance(Answer))
       break;
   }
   Record.Outcome = Answer.Outcome;
--- a/tests/load/failover_scenario.cpp
+++ b/tests/load/failover_scenario.cpp
@@ -25,7 +25,7 @@
 constexpr double FailoverWrites = 0.6;
 /// The faults of the services do not coincide.
 constexpr milliseconds Stagger{300};
-constexpr milliseconds Patience{2000};
+constexpr milliseconds RequestTimeout{2000};
 constexpr const char *Name = "measure";
 
 constexpr std::array FaultNames = std::to_array<base::enum_name<fault_kind>>({
@@ -41,8 +41,8 @@
 
 base::task<std::optional<data::endpoint_state>>
 stateOf(asio::any_io_executor Executor, http::address Address) {
-  constexpr milliseconds Short{300};
-  const base::instant Deadline = base::now() + Short;
+  constexpr milliseconds StatusTimeout{300};
+  const base::instant Deadline = base::now() + StatusTimeout;
   http::client Client(Executor);
   if (!co_await Client.connect(Address, Deadline))
     co_return std::nullopt;
@@ -54,71 +54,74 @@
 }
 
 /// The primary of the highest term among the databases of \p Service.
-base::task<std::optional<database_place>> primaryOf(bench &Bench,
-                                                    std::string Service) {
-  std::optional<database_place> Primary;
+base::task<std::optional<database_endpoint>>
+primaryOf(scenario_environment &Environment, std::string Service) {
+  std::optional<database_endpoint> Primary;
   base::term_number Term = 0;
-  for (const database_place &Place : Bench.Fleet.Databases) {
-    if (Place.Service != Service)
+  for (const database_endpoint &Database : Environment.Fleet.Databases) {
+    if (Database.Service != Service)
       continue;
-    const auto State = co_await stateOf(Bench.Executor, Place.Address);
+    const auto State = co_await stateOf(Environment.Executor, Database.Address);
     if (!State || State->Role != data::endpoint_role::Primary ||
         State->Term < Term)
       continue;
-    Primary = Place;
+    Primary = Database;
     Term = State->Term;
   }
   co_return Primary;
 }
 
-base::task<void> orderFault(bench &Bench, database_place Place,
-                            std::string Kind) {
+base::task<void> setFault(scenario_environment &Environment,
+                          database_endpoint Database, std::string Kind) {
   json::object Body{{"kind", Kind}, {"peer", "all"}};
   http::request Request;
   Request.Target = "/admin/fault";
   Request.Body = json::serialize(Body);
-  const base::instant Deadline = base::now() + Patience;
-  const auto Answer = co_await http::exchangeOnce(Bench.Executor, Place.Address,
-                                                  Request, Deadline);
+  const base::instant Deadline = base::now() + RequestTimeout;
+  const auto Answer = co_await http::exchangeOnce(
+      Environment.Executor, Database.Address, Request, Deadline);
   if (!Answer)
-    add(Bench.Figures,
-        {Bench.Deployment.Name, "faults", "orders not taken", Bench.Policy},
+    add(Environment.Figures,
+        {Environment.Deployment.Name, "faults", "orders not taken",
+         Environment.Policy},
         "orders", 1);
 }
 
-base::task<void> strike(bench &Bench, database_place Place, fault_kind Kind) {
+base::task<void> injectFault(scenario_environment &Environment,
+                             database_endpoint Database, fault_kind Kind) {
   if (Kind == fault_kind::Kill) {
-    Bench.Fleet.Kill(Place.Name);
+    Environment.Fleet.Kill(Database.Name);
     co_return;
   }
-  co_await orderFault(Bench, Place, std::string(faultName(Kind)));
+  co_await setFault(Environment, Database, std::string(faultName(Kind)));
 }
 
 /// Strikes the primary of each service in turn, the first after a third of
-/// the run; \p Struck gets the databases.
-base::task<void> strikeAll(bench &Bench, fault_kind Kind,
-                           std::vector<database_place> &Struck) {
+/// the run; \p Faulted gets the databases.
+base::task<void> injectFaults(scenario_environment &Environment,
+                              fault_kind Kind,
+                              std::vector<database_endpoint> &Faulted) {
   constexpr int Third = 3;
-  co_await pause(Bench.Executor, std::chrono::duration_cast<milliseconds>(
-                                     Bench.Duration / Third));
-  for (const std::string &Service : Bench.Deployment.Services) {
-    const auto Primary = co_await primaryOf(Bench, Service);
+  co_await pause(Environment.Executor, std::chrono::duration_cast<milliseconds>(
+                                           Environment.Duration / Third));
+  for (const std::string &Service : Environment.Deployment.Services) {
+    const auto Primary = co_await primaryOf(Environment, Service);
     if (!Primary)
       continue;
-    Struck.push_back(*Primary);
-    co_await strike(Bench, *Primary, Kind);
-    co_await pause(Bench.Executor, Stagger);
+    Faulted.push_back(*Primary);
+    co_await injectFault(Environment, *Primary, Kind);
+    co_await pause(Environment.Executor, Stagger);
   }
 }
 
-load_plan planOf(const bench &Bench) {
+load_plan planOf(const scenario_environment &Environment) {
   load_plan Plan;
-  Plan.Customers = customersOf(Bench.Deployment, FailoverLoad);
-  Plan.Services = Bench.Deployment.Services;
-  Plan.Duration = Bench.Duration;
+  Plan.Customers = customersOf(Environment.Deployment, FailoverLoad);
+  Plan.Services = Environment.Deployment.Services;
+  Plan.Duration = Environment.Duration;
   Plan.WriteShare = FailoverWrites;
   Plan.DeclaredRead = DeclaredReadName;
-  Plan.Seed = Bench.Repetition;
+  Plan.Seed = Environment.Repetition;
   return Plan;
 }
 
@@ -132,26 +135,29 @@
   return base::nameOf(FaultNames, Kind);
 }
 
-base::task<void> runFailover(bench &Bench, fault_kind Kind) {
+base::task<void> runFailover(scenario_environment &Environment,
+                             fault_kind Kind) {
   // The healed databases have to be replicas again before the next fault.
   constexpr milliseconds Recovery{1500};
-  driver Driver(Bench.Executor, planOf(Bench), Bench.Fleet.Callers, {});
-  std::vector<database_place> Struck;
-  asio::co_spawn(Bench.Executor, strikeAll(Bench, Kind, Struck),
+  driver Driver(Environment.Executor, planOf(Environment),
+                Environment.Fleet.Callers, {});
+  std::vector<database_endpoint> Faulted;
+  asio::co_spawn(Environment.Executor, injectFaults(Environment, Kind, Faulted),
                  asio::detached);
   const load_report Report = co_await Driver.run();
-  recorder Recorder{Bench, "failover by " + std::string(faultName(Kind)), {}};
-  for (std::size_t Place = 0; Place < Struck.size(); ++Place)
-    Recorder.note("write gap", "s", secondsOf(Report.WriteGaps.at(Place)));
+  recorder Recorder{
+      Environment, "failover by " + std::string(faultName(Kind)), {}};
+  for (std::size_t Index = 0; Index < Faulted.size(); ++Index)
+    Recorder.note("write gap", "s", secondsOf(Report.WriteGaps.at(Index)));
   Recorder.note("primaries struck", "primaries",
-                static_cast<double>(Struck.size()));
+                static_cast<double>(Faulted.size()));
   Recorder.noteOutcomes(Report);
   Recorder.noteViolations(Report);
   if (Kind == fault_kind::Kill)
     co_return;
-  for (const database_place &Place : Struck)
-    co_await orderFault(Bench, Place, "none");
-  co_await pause(Bench.Executor, Recovery);
+  for (const database_endpoint &Database : Faulted)
+    co_await setFault(Environment, Database, "none");
+  co_await pause(Environment.Executor, Recovery);
 }
 
 } // namespace redwinggw::load
--- a/tests/load/load_driver_test.cpp
+++ b/tests/load/load_driver_test.cpp
@@ -31,9 +31,9 @@
   std::map<std::string, std::pair<std::string, std::uint64_t>> Counters;
   std::map<std::string, bool> Seen;
   std::uint64_t Requests = 0;
-  std::uint64_t Repeats = 0;
+  std::uint64_t Retries = 0;
 
-  bool strikes(fault Kind) {
+  bool injects(fault Kind) {
     constexpr std::uint64_t Late = 40;
     if (Fault != Kind || Requests < Late)
       return false;
@@ -47,15 +47,15 @@
     const std::string Session(Params.at(0).as_string());
     auto &[Customer, Count] = Counters[Session];
     Customer = Params.at(1).as_string();
-    const bool Repeat = !Seen.emplace(Id, true).second;
-    Repeats += Repeat ? 1 : 0;
-    if (!Repeat && !strikes(fault::LoseWrite))
+    const bool Retry = !Seen.emplace(Id, true).second;
+    Retries += Retry ? 1 : 0;
+    if (!Retry && !injects(fault::LoseWrite))
       ++Count;
-    if (strikes(fault::DoubleWrite)) {
+    if (injects(fault::DoubleWrite)) {
       Seen.erase(Id);
       return {0, "", "", 0};
     }
-    if (strikes(fault::LoseAnswer))
+    if (injects(fault::LoseAnswer))
       return {0, "", "", 0};
     return {200, R"({"outcome":"done","session":"t","served_by":"primary"})"};
   }
@@ -68,8 +68,8 @@
     for (const auto &[Session, Row] : Counters) {
       if (All ? !Session.starts_with(Prefix) : Session != Asked)
         continue;
-      const bool Stale = !All && Row.second > 0 && strikes(fault::StaleRead);
-      const bool Mixed = !All && strikes(fault::MixCustomers);
+      const bool Stale = !All && Row.second > 0 && injects(fault::StaleRead);
+      const bool Mixed = !All && injects(fault::MixCustomers);
       Rows.push_back(json::array{Session, Mixed ? "other" : Row.first,
                                  Row.second - (Stale ? 1 : 0)});
     }
@@ -143,14 +143,14 @@
   fake_instance Instance;
   Instance.Fault = fault::LoseAnswer;
   const load_report Report = runAgainst(Instance);
-  cr_assert(Instance.Repeats == 1);
-  cr_assert(Report.Repeated > 0);
+  cr_assert(Instance.Retries == 1);
+  cr_assert(Report.Retried > 0);
   cr_assert(Report.Violations.empty());
 }
 
 // The checker itself is checked: an instance that breaks one promise once,
 // among some hundred requests, must be found out.
-Test(driver, each_broken_promise_is_found) {
+Test(driver, each_consistency_violation_is_detected) {
   const std::vector<std::pair<fault, violation>> Cases{
       {fault::DoubleWrite, violation::DoubledWrite},
       {fault::LoseWrite, violation::LostWrite},
--- a/tests/load/load_report_test.cpp
+++ b/tests/load/load_report_test.cpp
@@ -50,15 +50,15 @@
 Test(plan, one_customers_flood_moves_no_arrival_of_another) {
   load_plan Plan = planFor(100, 10);
   Plan.Customers.push_back({"c2", "k", 100, 10, 100});
-  const auto Calm = arrivalsOf(Plan);
+  const auto Normal = arrivalsOf(Plan);
   Plan.Customers[0].Offered = 500;
   const auto Flooded = arrivalsOf(Plan);
   const auto Second = [](const arrival &Arrival) {
     return Arrival.Customer == 1;
   };
-  cr_assert(std::ranges::count_if(Calm, Second) ==
+  cr_assert(std::ranges::count_if(Normal, Second) ==
             std::ranges::count_if(Flooded, Second));
-  cr_assert(Flooded.size() > 2 * Calm.size());
+  cr_assert(Flooded.size() > 2 * Normal.size());
 }
 
 // A customer uses up its burst, is refused, and comes back while the bucket
@@ -72,9 +72,9 @@
   const auto Verdicts = judgeArrivals(10, 2, Arrivals);
   const std::vector<bool> Entitled{true, true, false, true, true, true};
   const std::vector<bool> Inside{true, true, false, false, true, true};
-  for (std::size_t Place = 0; Place < Arrivals.size(); ++Place) {
-    cr_assert(Verdicts[Place].Entitled == Entitled[Place]);
-    cr_assert(Verdicts[Place].Inside == Inside[Place]);
+  for (std::size_t Index = 0; Index < Arrivals.size(); ++Index) {
+    cr_assert(Verdicts[Index].Entitled == Entitled[Index]);
+    cr_assert(Verdicts[Index].Inside == Inside[Index]);
   }
 }
 
--- a/tests/load/load_scenarios.cpp
+++ b/tests/load/load_scenarios.cpp
@@ -10,30 +10,30 @@
 
 namespace asio = boost::asio;
 
-constexpr double CalmLoad = 0.7;
+constexpr double NormalLoad = 0.7;
 constexpr double FloodFactor = 5;
 constexpr std::size_t FloodingCustomer = 0;
 
-load_plan planOf(const bench &Bench, double Load) {
+load_plan planOf(const scenario_environment &Environment, double Load) {
   load_plan Plan;
-  Plan.Customers = customersOf(Bench.Deployment, Load);
-  Plan.Services = Bench.Deployment.Services;
-  Plan.Shape = Bench.Deployment.Shape;
-  Plan.Duration = Bench.Duration;
+  Plan.Customers = customersOf(Environment.Deployment, Load);
+  Plan.Services = Environment.Deployment.Services;
+  Plan.Shape = Environment.Deployment.Shape;
+  Plan.Duration = Environment.Duration;
   Plan.DeclaredRead = DeclaredReadName;
-  Plan.Seed = Bench.Repetition;
+  Plan.Seed = Environment.Repetition;
   return Plan;
 }
 
 /// A key is refused until the sheet is in force at the instance asked.
-base::task<void> awaitKeys(bench &Bench) {
-  constexpr base::milliseconds Patience{10'000};
+base::task<void> awaitKeys(scenario_environment &Environment) {
+  constexpr base::milliseconds WaitLimit{10'000};
   constexpr base::milliseconds Pause{100};
-  const base::instant Until = base::now() + Patience;
-  caller Caller(Bench.Executor, Bench.Fleet.Callers);
-  asio::steady_timer Timer(Bench.Executor);
+  const base::instant Until = base::now() + WaitLimit;
+  caller Caller(Environment.Executor, Environment.Fleet.Callers);
+  asio::steady_timer Timer(Environment.Executor);
   boost::json::object Body;
-  Body["service"] = Bench.Deployment.Services.front();
+  Body["service"] = Environment.Deployment.Services.front();
   Body["sql"] = "select 1";
   for (std::size_t Instance = 0;
        Instance < Caller.instances() && base::now() < Until;) {
@@ -50,39 +50,43 @@
 
 } // namespace
 
-base::task<bool> prepareFleet(bench &Bench) {
-  co_await awaitKeys(Bench);
-  load_plan Plan = planOf(Bench, 0);
-  driver Driver(Bench.Executor, std::move(Plan), Bench.Fleet.Callers, {});
+base::task<bool> prepareFleet(scenario_environment &Environment) {
+  co_await awaitKeys(Environment);
+  load_plan Plan = planOf(Environment, 0);
+  driver Driver(Environment.Executor, std::move(Plan),
+                Environment.Fleet.Callers, {});
   co_return co_await Driver.prepare();
 }
 
-base::task<void> runCalmAndFlood(bench &Bench) {
-  load_plan Calm = planOf(Bench, CalmLoad);
-  load_plan Flood = Calm;
+base::task<void> runNormalAndFlood(scenario_environment &Environment) {
+  load_plan Normal = planOf(Environment, NormalLoad);
+  load_plan Flood = Normal;
   Flood.Customers[FloodingCustomer].Offered =
       FloodFactor * Flood.Customers[FloodingCustomer].Rate;
-  driver CalmDriver(Bench.Executor, std::move(Calm), Bench.Fleet.Callers, {});
-  const load_report CalmReport = co_await CalmDriver.run();
-  recorder CalmRecorder{Bench, "calm", {}};
-  CalmRecorder.noteAll(CalmReport);
-  driver FloodDriver(Bench.Executor, std::move(Flood), Bench.Fleet.Callers, {});
+  driver NormalDriver(Environment.Executor, std::move(Normal),
+                      Environment.Fleet.Callers, {});
+  const load_report NormalReport = co_await NormalDriver.run();
+  recorder NormalRecorder{Environment, "calm", {}};
+  NormalRecorder.noteAll(NormalReport);
+  driver FloodDriver(Environment.Executor, std::move(Flood),
+                     Environment.Fleet.Callers, {});
   const load_report FloodReport = co_await FloodDriver.run();
-  recorder FloodRecorder{Bench, "flood", FloodingCustomer};
+  recorder FloodRecorder{Environment, "flood", FloodingCustomer};
   FloodRecorder.noteAll(FloodReport);
   FloodRecorder.note("worst p99 with flood over without", "ratio",
-                     shareOf(FloodRecorder.WorstP99, CalmRecorder.WorstP99));
+                     shareOf(FloodRecorder.WorstP99, NormalRecorder.WorstP99));
   FloodRecorder.note("flooding customer: done of entitled", "share",
                      FloodReport.Customers[FloodingCustomer].goodput());
 }
 
-base::task<void> runSkewed(bench &Bench) {
+base::task<void> runSkewed(scenario_environment &Environment) {
   driver_options Options;
   Options.OneInstance = true;
-  load_plan Plan = planOf(Bench, CalmLoad);
-  driver Driver(Bench.Executor, std::move(Plan), Bench.Fleet.Callers, Options);
+  load_plan Plan = planOf(Environment, NormalLoad);
+  driver Driver(Environment.Executor, std::move(Plan),
+                Environment.Fleet.Callers, Options);
   const load_report Report = co_await Driver.run();
-  recorder Recorder{Bench, "one instance a customer", {}};
+  recorder Recorder{Environment, "one instance a customer", {}};
   Recorder.noteOutcomes(Report);
   Recorder.noteViolations(Report);
   Recorder.noteWorst(Report);
--- a/tests/load/measure.cpp
+++ b/tests/load/measure.cpp
@@ -37,7 +37,8 @@
 /// What the short form runs also for the baselines and the second deployment.
 constexpr std::string_view ShortScenario = "load";
 
-using scenario_function = std::function<base::task<void>(bench &)>;
+using scenario_function =
+    std::function<base::task<void>(scenario_environment &)>;
 
 struct scenario_row {
   std::string_view Name;
@@ -52,15 +53,20 @@
   static const std::vector<scenario_row> All{
       {"idle", false, true, runIdle},
       {"cold", false, true, runCold},
-      {"load", true, true, runCalmAndFlood},
+      {"load", true, true, runNormalAndFlood},
       {"skewed", true, true, runSkewed},
       {"probes", false, true, runProbes},
       {"pause", false, false,
-       [](bench &Bench) { return runFailover(Bench, fault_kind::Pause); }},
+       [](scenario_environment &Environment) {
+         return runFailover(Environment, fault_kind::Pause);
+       }},
       {"cut", false, true,
-       [](bench &Bench) { return runFailover(Bench, fault_kind::Cut); }},
-      {"kill", false, true,
-       [](bench &Bench) { return runFailover(Bench, fault_kind::Kill); }}};
+       [](scenario_environment &Environment) {
+         return runFailover(Environment, fault_kind::Cut);
+       }},
+      {"kill", false, true, [](scenario_environment &Environment) {
+         return runFailover(Environment, fault_kind::Kill);
+       }}};
   return All;
 }
 
@@ -144,31 +150,34 @@
   void runScenarios(fleet::running_fleet &Fleet, const deployment &Deployment,
                     const policy &Policy) {
     boost::asio::io_context Context;
-    const fleet_port Port = portOf(Fleet);
-    bench Bench{
-        Context.get_executor(), Deployment, Port, Figures, Policy.Name, 1,
+    const fleet_view View = viewOf(Fleet);
+    scenario_environment Environment{
+        Context.get_executor(), Deployment, View, Figures, Policy.Name, 1,
         Options.Duration};
-    if (!runTask(Context, prepareFleet(Bench)))
+    if (!runTask(Context, prepareFleet(Environment)))
       throw std::runtime_error("the fleet does not take writes");
     if (Options.Connections > 0)
-      runTask(Context, runConnections(Bench, Options.Connections));
-    for (; Bench.Repetition <= Options.Repetitions; ++Bench.Repetition)
+      runTask(Context, runConnections(Environment, Options.Connections));
+    for (; Environment.Repetition <= Options.Repetitions;
+         ++Environment.Repetition)
       for (const scenario_row &Scenario : scenarios())
         if (wanted(Scenario, Deployment, Policy))
-          runScenario(Context, Fleet, Bench, Scenario);
+          runScenario(Context, Fleet, Environment, Scenario);
   }
 
   void runScenario(boost::asio::io_context &Context,
-                   fleet::running_fleet &Fleet, bench &Bench,
+                   fleet::running_fleet &Fleet,
+                   scenario_environment &Environment,
                    const scenario_row &Scenario) {
-    const std::string Name = Bench.Deployment.Name + ", " + Bench.Policy +
-                             ", " + std::string(Scenario.Name);
+    const std::string Name = Environment.Deployment.Name + ", " +
+                             Environment.Policy + ", " +
+                             std::string(Scenario.Name);
     if (isLate()) {
       NotRun.push_back(Name + ": no time left in the short form");
       return;
     }
     std::cerr << "measure: " << Name << "\n";
-    runTask(Context, Scenario.Run(Bench));
+    runTask(Context, Scenario.Run(Environment));
     restartKilled(Fleet);
   }
 
--- a/tests/load/measured_fleet.cpp
+++ b/tests/load/measured_fleet.cpp
@@ -40,22 +40,22 @@
   return Plan;
 }
 
-fleet_port portOf(fleet::running_fleet &Fleet) {
-  fleet_port Port;
+fleet_view viewOf(fleet::running_fleet &Fleet) {
+  fleet_view View;
   for (const auto &Instance : Fleet.instances()) {
-    Port.Callers.push_back(Instance->Callers);
-    Port.Operators.push_back(Instance->Operators);
-    Port.Instances.push_back(Instance->Process->pid());
+    View.Callers.push_back(Instance->Callers);
+    View.Operators.push_back(Instance->Operators);
+    View.Instances.push_back(Instance->Process->pid());
   }
   for (const auto &Endpoint : Fleet.endpoints()) {
     const std::string Service =
         Endpoint->Group.substr(0, Endpoint->Group.rfind("-db"));
-    Port.Databases.push_back({Endpoint->Name, Service, Endpoint->Address});
+    View.Databases.push_back({Endpoint->Name, Service, Endpoint->Address});
   }
-  Port.Kill = [&Fleet](const std::string &Database) {
+  View.Kill = [&Fleet](const std::string &Database) {
     Fleet.endpoint(Database).Process->signal(SIGKILL);
   };
-  return Port;
+  return View;
 }
 
 void restartKilled(fleet::running_fleet &Fleet) {
--- a/tests/load/measured_fleet.hpp
+++ b/tests/load/measured_fleet.hpp
@@ -22,7 +22,7 @@
 fleet::fleet_plan planOf(const deployment &Deployment, const policy &Policy);
 
 /// \p Fleet as the scenarios see it; it outlives the port.
-fleet_port portOf(fleet::running_fleet &Fleet);
+fleet_view viewOf(fleet::running_fleet &Fleet);
 
 /// Starts again the databases that a scenario killed.
 void restartKilled(fleet::running_fleet &Fleet);
--- a/tests/load/probe.cpp
+++ b/tests/load/probe.cpp
@@ -20,7 +20,7 @@
 using base::instant;
 
 constexpr auto Token = asio::as_tuple(asio::use_awaitable);
-constexpr std::chrono::seconds Patience{5};
+constexpr std::chrono::seconds RequestTimeout{5};
 constexpr const char *Sql = "select 1, 'x'";
 constexpr const char *Name = "probe";
 constexpr unsigned StatusOk = 200;
@@ -48,7 +48,7 @@
 }
 
 base::task<bool> open(http::client &Client, const probe_options &Options) {
-  const instant Deadline = base::now() + Patience;
+  const instant Deadline = base::now() + RequestTimeout;
   if (!Options.Service.empty())
     co_return (co_await Client.connect(Options.Address, Deadline)).has_value();
   const auto State =
@@ -58,7 +58,7 @@
 
 base::task<bool> exchangeOne(http::client &Client, const probe_options &Options,
                              const http::request &Request) {
-  const instant Deadline = base::now() + Patience;
+  const instant Deadline = base::now() + RequestTimeout;
   if (!Options.Service.empty()) {
     const auto Response = co_await Client.exchange(Request, Deadline);
     co_return Response.has_value() && Response->Status == StatusOk;
@@ -115,12 +115,13 @@
 base::task<probe_report> probe(asio::any_io_executor Executor,
                                probe_options Options) {
   // Connections open before the start, so that the connect cost stays out.
-  constexpr base::milliseconds Least{200};
-  constexpr base::microseconds EachConnection{150};
-  const base::microseconds Lead = Least + EachConnection * Options.Connections;
+  constexpr base::milliseconds MinConnectTime{200};
+  constexpr base::microseconds TimePerConnection{150};
+  const base::microseconds ConnectTime =
+      MinConnectTime + TimePerConnection * Options.Connections;
   probe_state State;
   State.Options = Options;
-  State.Start = base::now() + Lead;
+  State.Start = base::now() + ConnectTime;
   State.Running = Options.Connections;
   for (std::size_t Number = 0; Number < Options.Connections; ++Number)
     asio::co_spawn(Executor, runConnection(Executor, State, Number),
--- a/tests/load/recorder.cpp
+++ b/tests/load/recorder.cpp
@@ -19,8 +19,9 @@
 }
 
 void recorder::note(std::string Measure, std::string Unit, double Value) {
-  add(Bench.Figures,
-      {Bench.Deployment.Name, Scenario, std::move(Measure), Bench.Policy},
+  add(Environment.Figures,
+      {Environment.Deployment.Name, Scenario, std::move(Measure),
+       Environment.Policy},
       std::move(Unit), Value);
 }
 
@@ -88,9 +89,9 @@
   double Goodput = 1;
   base::microseconds Median{0};
   base::microseconds P99{0};
-  for (std::size_t Place = 0; Place < Report.Customers.size(); ++Place) {
-    const customer_report &Customer = Report.Customers[Place];
-    if (Place == Flooding)
+  for (std::size_t Index = 0; Index < Report.Customers.size(); ++Index) {
+    const customer_report &Customer = Report.Customers[Index];
+    if (Index == Flooding)
       continue;
     Goodput = std::min(Goodput, Customer.goodput());
     Median = std::max(Median, Customer.Median);
--- a/tests/load/recorder.hpp
+++ b/tests/load/recorder.hpp
@@ -13,7 +13,7 @@
 double shareOf(double Part, double Whole);
 
 struct recorder {
-  bench &Bench;
+  scenario_environment &Environment;
   std::string Scenario;
   /// A customer that floods is not among the worst-served.
   std::optional<std::size_t> Flooding;
--- a/tests/load/report.cpp
+++ b/tests/load/report.cpp
@@ -54,13 +54,13 @@
   base::histogram Latencies(FineBins);
   microseconds Last{0};
   double Spent = 0;
-  for (std::size_t Place = 0; Place < Records.size(); ++Place) {
-    countOutcome(Report, Records[Place], Verdicts[Place]);
-    if (Records[Place].Outcome != base::outcome::Done)
+  for (std::size_t Index = 0; Index < Records.size(); ++Index) {
+    countOutcome(Report, Records[Index], Verdicts[Index]);
+    if (Records[Index].Outcome != base::outcome::Done)
       continue;
-    observe(Latencies, Records[Place].Latency);
-    Spent += costOf(Records[Place].Arrival.Kind);
-    Last = std::max(Last, endOf(Records[Place]));
+    observe(Latencies, Records[Index].Latency);
+    Spent += costOf(Records[Index].Arrival.Kind);
+    Last = std::max(Last, endOf(Records[Index]));
   }
   const double Bound =
       Load.Burst + Load.Rate * secondsOf(Last - Arrivals.front().At);
@@ -96,8 +96,8 @@
   Times.push_back(LastOffered);
   std::ranges::sort(Times);
   microseconds Longest{0};
-  for (std::size_t Place = 1; Place < Times.size(); ++Place)
-    Longest = std::max(Longest, Times[Place] - Times[Place - 1]);
+  for (std::size_t Index = 1; Index < Times.size(); ++Index)
+    Longest = std::max(Longest, Times[Index] - Times[Index - 1]);
   return Longest;
 }
 
@@ -171,7 +171,7 @@
         reportOfCustomer(Plan.Customers[Customer], {Own.begin(), Own.end()}));
   }
   for (const request_record &Record : Records) {
-    Report.Repeated += Record.Repeats;
+    Report.Retried += Record.Retries;
     if (Record.Outcome != base::outcome::Done)
       continue;
     const bool Write = isWrite(Record.Arrival.Kind);
@@ -209,7 +209,7 @@
                       {"write_gaps_us", std::move(Gaps)},
                       {"reads", quantilesOf(Report.Reads)},
                       {"writes", quantilesOf(Report.Writes)},
-                      {"repeated", Report.Repeated},
+                      {"repeated", Report.Retried},
                       {"violations", std::move(Violations)},
                       {"unchecked", Report.Unchecked}};
 }
--- a/tests/load/report.hpp
+++ b/tests/load/report.hpp
@@ -22,7 +22,7 @@
   microseconds Latency{0};
   std::string ServedBy;
   bool ReplicaAllowed = false;
-  unsigned Repeats = 0;
+  unsigned Retries = 0;
 };
 
 /// Whether an ideal token bucket over the whole fleet would let an arrival
@@ -65,7 +65,7 @@
   std::vector<microseconds> WriteGaps;
   base::histogram Reads{60};
   base::histogram Writes{60};
-  std::uint64_t Repeated = 0;
+  std::uint64_t Retried = 0;
   std::map<violation, std::uint64_t> Violations;
   /// What could not be checked at the end; a pass needs this to be zero.
   std::uint64_t Unchecked = 0;
--- a/tests/load/scenarios.hpp
+++ b/tests/load/scenarios.hpp
@@ -15,20 +15,20 @@
 namespace redwinggw::load {
 
 /// A running fleet as the scenarios see it.
-struct fleet_port {
+struct fleet_view {
   std::vector<http::address> Callers;
   std::vector<http::address> Operators;
   std::vector<pid_t> Instances;
-  std::vector<database_place> Databases;
+  std::vector<database_endpoint> Databases;
   /// Kills the process of a database at once.
   std::function<void(const std::string &Database)> Kill;
 };
 
 /// What one scenario needs. Members outlive the scenario's task.
-struct bench {
+struct scenario_environment {
   boost::asio::any_io_executor Executor;
   const deployment &Deployment;
-  const fleet_port &Fleet;
+  const fleet_view &Fleet;
   figures &Figures;
   /// Name of the policy that the fleet runs.
   std::string Policy;
@@ -43,27 +43,29 @@
 std::string_view faultName(fault_kind Kind);
 
 /// Makes the tables. False when the fleet did not take the writes.
-base::task<bool> prepareFleet(bench &Bench);
+base::task<bool> prepareFleet(scenario_environment &Environment);
 
 /// Every customer inside its rate, then one at five times its rate.
-base::task<void> runCalmAndFlood(bench &Bench);
+base::task<void> runNormalAndFlood(scenario_environment &Environment);
 
 /// Every customer inside its rate, each at one instance only.
-base::task<void> runSkewed(bench &Bench);
+base::task<void> runSkewed(scenario_environment &Environment);
 
 /// The primary of each service fails while writes go on.
-base::task<void> runFailover(bench &Bench, fault_kind Kind);
+base::task<void> runFailover(scenario_environment &Environment,
+                             fault_kind Kind);
 
 /// Added latency and statements a core against straight to the endpoint.
-base::task<void> runProbes(bench &Bench);
+base::task<void> runProbes(scenario_environment &Environment);
 
 /// CPU for a statement and memory with many caller connections.
-base::task<void> runConnections(bench &Bench, std::size_t Connections);
+base::task<void> runConnections(scenario_environment &Environment,
+                                std::size_t Connections);
 
 /// The first read of a customer at each instance after a quiet time.
-base::task<void> runCold(bench &Bench);
+base::task<void> runCold(scenario_environment &Environment);
 
 /// CPU, memory and bytes of each instance without load.
-base::task<void> runIdle(bench &Bench);
+base::task<void> runIdle(scenario_environment &Environment);
 
 } // namespace redwinggw::load
