--- a/tests/bench/config_bench.cpp
+++ b/tests/bench/config_bench.cpp
@@ -11,10 +11,10 @@
 #include <iostream>
 #include <vector>
 
-/// What a configuration costs by its number of customers, each with one key:
-/// memory in force, the stored row, and the times to apply it, to plan a key
-/// change, and to find a key, with the index and by a scan. Medians over
-/// Repeats runs. Prints a table.
+/// Prints a table of what a configuration costs by its number of customers,
+/// each with one key: heap memory while in force, size of the stored row, and
+/// the times to apply it, to plan a key change, and to find a key with the
+/// index and by a scan. Times are medians over Repeats runs.
 
 using namespace redwinggw;
 using namespace redwinggw::control;
@@ -71,7 +71,8 @@
   return Info.uordblks + Info.hblkhd;
 }
 
-/// Mean microseconds of one look-up of a known key.
+/// Microseconds for one look-up of a known key: the median time of LookUps
+/// look-ups divided by their number.
 double findTime(const configuration &Configuration) {
   const std::size_t Count = Configuration.Customers.size();
   std::size_t Found = 0;
--- a/tests/bench/failover_bench.cpp
+++ b/tests/bench/failover_bench.cpp
@@ -16,9 +16,10 @@
 #include <ranges>
 #include <set>
 
-/// Measures the gap in writes over many failovers of a group of real
-/// processes: `failover_bench [ROUNDS] [INSTANCES]`. Fails when an
-/// acknowledged write is missing or doubled at the end.
+/// Measures the gap in acknowledged writes over many failovers of a replica
+/// group of real processes: `failover_bench [ROUNDS] [INSTANCES]`. Fails when a
+/// round does not end, or when an acknowledged write is missing or doubled at
+/// the end.
 namespace {
 
 using namespace redwinggw;
@@ -72,7 +73,7 @@
   }
 };
 
-/// Runs the instances until \p Holds, false when it does not in time.
+/// Runs the instances until \p Holds returns true; false on timeout.
 template <typename Condition> bool runUntil(bench_run &Run, Condition Holds) {
   const base::instant End = base::now() + WaitLimit;
   while (!Holds()) {
@@ -118,7 +119,8 @@
   return Member.State ? Member.State->Received : 0;
 }
 
-/// Whether each member follows the primary and holds what it holds, nearly.
+/// Whether each member answers, follows the primary in its term and has
+/// received almost the whole log.
 bool isGroupHealthy(const bench_run &Run) {
   constexpr base::log_position Near = 50;
   const data::group_view &View = Run.view();
@@ -133,7 +135,7 @@
          });
 }
 
-/// For the report of a round that did not end.
+/// Prints the state of the group after a round that did not end.
 void printMembers(bench_run &Run) {
   for (const auto &Instance : Run.Load.Instances)
     std::cout << Instance->Name << ": "
@@ -184,8 +186,7 @@
   }
 }
 
-/// Prints what became of the acknowledged writes; false when one is lost or
-/// doubled.
+/// Prints how many acknowledged writes are lost or doubled; false when any is.
 bool judge(bench_run &Run) {
   std::multiset<std::int64_t> Kept;
   const auto Rows =
--- a/tests/bench/failover_load.cpp
+++ b/tests/bench/failover_load.cpp
@@ -17,9 +17,9 @@
 
 constexpr milliseconds WriteEvery{20};
 constexpr milliseconds WriteDeadline{1000};
-/// Connections to one endpoint that one instance uses at once.
+/// Maximum number of connections to one endpoint that an instance uses at once.
 constexpr unsigned MaxOpen = 5;
-/// As often as the heartbeats between instances.
+/// Same as the interval of the heartbeats between instances.
 constexpr milliseconds ReportEvery{200};
 
 base::task<void> pauseFor(asio::any_io_executor Executor,
@@ -99,8 +99,9 @@
     Instance.LastFailure = describe(Confirmed.error());
 }
 
-/// An idle connection to \p Endpoint, or one still to be opened. Those that
-/// lead elsewhere are closed: they would use up a limit that all share.
+/// An idle connection to \p Endpoint, or one still to be opened. Idle
+/// connections to other endpoints are closed: they would use up a connection
+/// limit that all instances share.
 endpoint_connection acquireConnection(load &Load, instance &Instance,
                                       const base::endpoint_name &Endpoint) {
   std::erase_if(Instance.Idle, [&](const endpoint_connection &Connection) {
@@ -113,7 +114,7 @@
   return Connection;
 }
 
-/// One write of one caller.
+/// Sends one write and waits until it is confirmed or fails.
 base::task<void> writeOnce(load &Load, instance &Instance) {
   const base::instant Deadline = base::now() + WriteDeadline;
   const auto Ready =
@@ -130,7 +131,7 @@
     Instance.Idle.push_back(std::move(Connection));
 }
 
-/// Callers arrive at their own pace, also while others wait.
+/// Starts writes at a fixed rate, also while earlier ones wait (open loop).
 base::task<void> issueWrites(load &Load, instance &Instance) {
   while (!Load.Stopping) {
     asio::co_spawn(Load.Executor, writeOnce(Load, Instance), asio::detached);
--- a/tests/bench/failover_load.hpp
+++ b/tests/bench/failover_load.hpp
@@ -10,8 +10,8 @@
 #include <string>
 #include <vector>
 
-/// Several group services on one executor, each with a writer, against a group
-/// of real processes.
+/// Several instances (group services) on one executor, each with a writer,
+/// against a replica group of real processes.
 namespace redwinggw::bench {
 
 struct acknowledged {
@@ -20,13 +20,13 @@
   base::instant At;
 };
 
-/// What one instance last heard of another.
+/// What an instance last reported to the others.
 struct instance_report {
   base::instant At;
   std::vector<data::suspicion> Suspicions;
 };
 
-/// A database connection and where it leads.
+/// A database connection and the endpoint it goes to.
 struct endpoint_connection {
   http::client Client;
   base::endpoint_name Endpoint;
@@ -38,7 +38,7 @@
   std::unique_ptr<data::group_service> Groups;
   instance_report Report;
   std::vector<endpoint_connection> Idle;
-  /// Why the last failed write failed.
+  /// Error of the last failed write.
   std::string LastFailure;
   std::map<base::endpoint_name, unsigned> Open;
 };
@@ -52,13 +52,13 @@
   bool Stopping = false;
 };
 
-/// Starts \p Count instances and their writers. \p Load must outlive the
-/// executor's run.
+/// Starts \p Count instances and their writers. \p Load must outlive the run of
+/// its executor.
 void startLoad(load &Load, std::size_t Count, http::address Platform,
                const control::configuration &Configuration);
 
-/// The time between the last acknowledgement of a term up to \p Term and the
-/// first of a later one; nothing when there is no later one yet.
+/// The time between the last write acknowledged in \p Term or earlier and the
+/// first one acknowledged in a later term; nothing before that write.
 std::optional<base::microseconds> gapAfter(const load &Load,
                                            base::term_number Term);
 
--- a/tests/bench/peers_bench.cpp
+++ b/tests/bench/peers_bench.cpp
@@ -1,7 +1,7 @@
-// Cost of membership and shares a node: bytes, datagrams and processor time
-// against the number of instances, customers and requests. The decisions and
-// the serialisation run for real; time is passed in, so that a run takes only
-// as long as its work. With --udp a few sizes run over real sockets as well.
+// Measures what membership and rate shares cost each instance: bytes, datagrams
+// and CPU time by the number of instances, customers and requests. Decisions
+// and serialisation are the real code; time is simulated, so that a run takes
+// only as long as its work. --udp adds a few sizes over real sockets.
 
 #include "redwinggw/control/peer_service.hpp"
 #include "redwinggw/control/share_node.hpp"
@@ -89,7 +89,7 @@
 
 void carryOut(bench_fleet &Fleet, std::size_t Index, share_actions Actions);
 
-/// Serialises, checks and hands over a datagram.
+/// Serialises, verifies and delivers a datagram.
 void deliver(bench_fleet &Fleet, const wire::datagram &Sent) {
   const std::string Bytes = wire::encode(Key, Sent);
   Fleet.Traffic.Datagrams += 1;
@@ -266,8 +266,8 @@
   return Request;
 }
 
-/// Real sockets, all instances on one thread; the processor time holds the
-/// polling of the list and the stand-in's part of it too.
+/// Runs over real sockets, all instances on one thread; the CPU time includes
+/// polling the list of instances and the platform stand-in's part of that.
 void benchUdp(std::size_t Count) {
   constexpr milliseconds WarmUp{3000};
   constexpr milliseconds Time{5000};
--- a/tests/demo/demo.cpp
+++ b/tests/demo/demo.cpp
@@ -9,8 +9,9 @@
 #include <iostream>
 #include <string_view>
 
-/// What tools/demo runs: a small fleet of real processes through an ordinary
-/// day and a failover. Exits 0 only if every answer was right.
+/// The program behind tools/demo: runs a small fleet of real processes through
+/// ordinary traffic, a failover and a graceful stop. Exits 0 only if all checks
+/// pass.
 namespace {
 
 using namespace redwinggw;
@@ -23,7 +24,7 @@
 constexpr std::size_t WritesShown = 100;
 constexpr std::chrono::seconds StopPatience{30};
 
-/// Counts the answers that were not right.
+/// Prints the result of each check and counts the failed ones.
 struct verdict {
   unsigned Wrong = 0;
 
--- a/tests/load/caller.hpp
+++ b/tests/load/caller.hpp
@@ -10,20 +10,21 @@
 #include <string>
 #include <vector>
 
-/// The callers' protocol of docs/CALLERS.md over kept connections.
+/// A client of the callers' protocol (docs/CALLERS.md) that reuses its
+/// connections.
 namespace redwinggw::load {
 
-/// An answer as the caller understands it.
+/// An answer decoded into outcome, error and body.
 struct caller_answer {
   base::outcome Outcome = base::outcome::Unknown;
-  /// Kind of the error; empty when done.
+  /// Error kind; empty when done.
   std::string Error;
   boost::json::object Body;
 
   bool isDone() const { return Outcome == base::outcome::Done; }
 };
 
-/// Connections to the instances. Used from one thread.
+/// Connection pools to the instances. Not thread safe.
 class caller {
 public:
   caller(boost::asio::any_io_executor Executor,
@@ -31,7 +32,8 @@
 
   std::size_t instances() const { return Instances.size(); }
 
-  /// Posts \p Body to \p Target of instance number \p Instance (modulo).
+  /// Posts \p Body to path \p Target of instance \p Instance modulo the number
+  /// of instances.
   base::task<caller_answer> post(std::size_t Instance, std::string Target,
                                  std::string Key, boost::json::object Body,
                                  base::instant Deadline);
@@ -43,7 +45,7 @@
   std::vector<std::vector<http::client>> Idle;
 };
 
-/// Whether another instance may serve what this one refused.
+/// Whether the request did not run and another instance may be able to run it.
 bool mayTryAnotherInstance(const caller_answer &Answer);
 
 } // namespace redwinggw::load
--- a/tests/load/cost_scenarios.cpp
+++ b/tests/load/cost_scenarios.cpp
@@ -40,7 +40,7 @@
   return Options;
 }
 
-/// A replica, as the reads through the instance go to one.
+/// Sends to a replica, because the reads through the instance go to one too.
 probe_options endpointProbe(const scenario_environment &Environment) {
   probe_options Options;
   Options.Address = Environment.Fleet.Databases.at(1).Address;
@@ -113,7 +113,7 @@
                 shareOf(Cpu * MicrosecondsASecond, Done));
 }
 
-/// Sum over the series of \p Name in Prometheus text.
+/// Sum of all series whose name starts with \p Name in Prometheus text.
 double sumOfMetric(const std::string &Text, std::string_view Name) {
   std::istringstream Lines(Text);
   double Sum = 0;
@@ -123,7 +123,7 @@
   return Sum;
 }
 
-/// What one instance has cost up to now.
+/// Resources that one instance has used since its start.
 struct running_cost {
   process_cost Process;
   double PeerBytes = 0;
--- a/tests/load/deployment.hpp
+++ b/tests/load/deployment.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-/// The sizes of the two users' deployments, as the measurements run them.
+/// The two users' deployments, in the sizes that the measurements run.
 namespace redwinggw::load {
 
 struct deployment {
@@ -28,18 +28,18 @@
 /// "z1", "z2", ...: the zone of database or instance \p Number.
 std::string zoneOf(const deployment &Deployment, std::size_t Number);
 
-/// Eight customers, three of them large, each offering the share \p Load of
-/// its rate at the shape's peak.
+/// Eight customers, three of them with a higher rate. At the shape's peak each
+/// offers its rate times \p Load.
 std::vector<customer_load> customersOf(const deployment &Deployment,
                                        double Load);
 
-/// A customer without a practical limit, for the probes.
+/// A customer whose rate is too high to limit the probes.
 customer_load probeCustomer();
 
-/// Declared for each service by the fleet's sheet.
+/// Name of the declared read that the fleet's sheet has for each service.
 constexpr const char *DeclaredReadName = "recent";
 
-/// A database and where it listens.
+/// A database and the address that it listens on.
 struct database_endpoint {
   std::string Name;
   std::string Service;
--- a/tests/load/driver.cpp
+++ b/tests/load/driver.cpp
@@ -113,8 +113,8 @@
     co_await performTransaction(Session, Record);
     break;
   }
-  // From the intended start: a driver or fleet that falls behind makes the
-  // latency longer, not the sample smaller.
+  // Counts from the intended start, so that a driver or fleet that falls behind
+  // shows as latency instead of as fewer samples (coordinated omission).
   Record.Latency = base::now() - (Start + Arrival.At);
   Records.push_back(std::move(Record));
   Free[{Arrival.Customer, Arrival.Service}].push_back(&Session);
@@ -153,8 +153,8 @@
   co_return Prepared;
 }
 
-/// Compares the counter rows of one customer in one service with what its
-/// sessions were told; false when they could not be read.
+/// Compares the counter rows of one customer in one service with the answers
+/// that its sessions got; false when the rows could not be read.
 base::task<bool> driver::checkSessions(std::size_t Customer,
                                        std::size_t Service) {
   session Reader;
--- a/tests/load/driver.hpp
+++ b/tests/load/driver.hpp
@@ -9,35 +9,37 @@
 #include <functional>
 #include <map>
 
-/// Runs a plan against instances and judges what callers saw.
+/// Runs a load plan against instances and checks the answers for consistency
+/// violations.
 namespace redwinggw::load {
 
 struct driver_options {
   base::milliseconds Deadline{2000};
-  /// An unknown write is repeated for so long, then asked after, then given up.
+  /// How long a statement with an unknown outcome is retried and the outcome of
+  /// a transaction queried. After one last query the outcome stays unknown.
   base::milliseconds ResolveTimeout{15'000};
-  /// Sends each customer's requests to one instance only, as a skewed
-  /// balancer does.
+  /// Sends each customer's requests to one instance only, as a load balancer
+  /// with skewed distribution does.
   bool OneInstance = false;
 };
 
-/// The connections and sessions of one run. Used from one thread; outlives
-/// the tasks that it starts.
+/// The connections and sessions of one run. Not thread safe; must outlive the
+/// tasks that it starts.
 class driver {
 public:
   driver(boost::asio::any_io_executor Executor, load_plan Plan,
          std::vector<http::address> Instances, driver_options Options);
 
-  /// Creates the counter table of each service. Run once a fleet; a repeat
-  /// changes nothing.
+  /// Creates the counter table of each service; idempotent. Needed once for
+  /// each fleet. False when a service did not accept the write.
   base::task<bool> prepare();
 
-  /// Sends the plan's arrivals, waits for all answers, checks what stands in
-  /// the databases and reports.
+  /// Sends the plan's arrivals, waits for all answers, checks the counters
+  /// stored in the databases and reports.
   base::task<load_report> run();
 
-  /// Called with the time since the start at each acknowledged write of a
-  /// service; for tests and for finding the gap around a fault.
+  /// Called at each acknowledged write of a service with its time; for tests
+  /// and for finding the gap in writes around a fault.
   std::function<void(std::size_t Service, base::instant At)> OnWrite;
 
 private:
--- a/tests/load/driver_requests.cpp
+++ b/tests/load/driver_requests.cpp
@@ -55,7 +55,7 @@
     Session.Token = textAt(Answer.Body, "session");
 }
 
-/// Finds out what became of a write whose answer was lost.
+/// Finds out whether a write whose answer was lost took effect.
 base::task<caller_answer> driver::resolve(session &Session,
                                           request_record &Record,
                                           std::string Target,
@@ -66,7 +66,8 @@
   OutcomeQuery["service"] = Body["service"];
   OutcomeQuery["request_id"] = Body["request_id"];
   OutcomeQuery["issued_at"] = Body["issued_at"];
-  // A transaction cannot be repeated blindly: it is only asked after.
+  // A transaction must not be retried without knowing whether it took effect,
+  // so only its outcome is queried.
   const bool Retryable = Target == "/v1/statement";
   caller_answer Answer;
   while (base::now() < Until) {
@@ -131,7 +132,7 @@
   }
   Record.Outcome = Answer.Outcome;
   Record.Error = Answer.Error;
-  // Whatever happens before the commit is sent leaves nothing.
+  // A failure before the commit is sent leaves no effect.
   if (!Answer.isDone()) {
     Record.Outcome = outcome::NotRun;
     co_return;
--- a/tests/load/failover_scenario.cpp
+++ b/tests/load/failover_scenario.cpp
@@ -23,7 +23,7 @@
 constexpr auto Token = asio::as_tuple(asio::use_awaitable);
 constexpr double FailoverLoad = 0.5;
 constexpr double FailoverWrites = 0.6;
-/// The faults of the services do not coincide.
+/// Delay between the faults of two services, so that they do not coincide.
 constexpr milliseconds Stagger{300};
 constexpr milliseconds RequestTimeout{2000};
 constexpr const char *Name = "measure";
@@ -96,8 +96,8 @@
   co_await setFault(Environment, Database, std::string(faultName(Kind)));
 }
 
-/// Strikes the primary of each service in turn, the first after a third of
-/// the run; \p Faulted gets the databases.
+/// Injects the fault into the primary of each service, one after the other,
+/// starting after a third of the run; adds these databases to \p Faulted.
 base::task<void> injectFaults(scenario_environment &Environment,
                               fault_kind Kind,
                               std::vector<database_endpoint> &Faulted) {
@@ -137,7 +137,7 @@
 
 base::task<void> runFailover(scenario_environment &Environment,
                              fault_kind Kind) {
-  // The healed databases have to be replicas again before the next fault.
+  // The healed databases must be replicas again before the next fault.
   constexpr milliseconds Recovery{1500};
   driver Driver(Environment.Executor, planOf(Environment),
                 Environment.Fleet.Callers, {});
--- a/tests/load/figures.cpp
+++ b/tests/load/figures.cpp
@@ -19,7 +19,8 @@
   return Out.str();
 }
 
-/// Bars of one measure: the policies side by side, whiskers for the spread.
+/// Bar chart of one measure: one bar for each policy, with whiskers from the
+/// least to the greatest value.
 class bar_chart {
 public:
   explicit bar_chart(const std::vector<std::pair<std::string, figure>> &Bars)
--- a/tests/load/figures.hpp
+++ b/tests/load/figures.hpp
@@ -7,11 +7,11 @@
 #include <tuple>
 #include <vector>
 
-/// The figures of a measurement: values of several repetitions, side by side
-/// for the policies compared.
+/// The results of a measurement: the values of all repetitions for each
+/// deployment, scenario, measure and policy, and their output formats.
 namespace redwinggw::load {
 
-/// What a value belongs to.
+/// Identifies a series of values.
 struct figure_key {
   std::string Deployment;
   std::string Scenario;
@@ -23,7 +23,7 @@
 
 struct figure {
   std::string Unit;
-  /// One a repetition.
+  /// One value for each repetition, or several where a scenario notes more.
   std::vector<double> Values;
 };
 
@@ -31,7 +31,7 @@
 
 void add(figures &Figures, figure_key Key, std::string Unit, double Value);
 
-/// Middle value, and the least and the greatest; zeros without values.
+/// Median, least and greatest value; zeros without values.
 struct spread {
   double Median = 0;
   double Least = 0;
@@ -39,12 +39,13 @@
 };
 spread spreadOf(const figure &Figure);
 
-/// One line a figure: median [least..greatest] and the repetitions.
+/// A Markdown table with one row for each figure: median, least, greatest, unit
+/// and number of values.
 std::string toTable(const figures &Figures);
 
 boost::json::value toJson(const figures &Figures);
 
-/// A page with a bar chart for each measure, drawn in SVG.
+/// An HTML page with an SVG bar chart for each measure.
 std::string toHtml(const figures &Figures);
 
 } // namespace redwinggw::load
--- a/tests/load/load_driver.cpp
+++ b/tests/load/load_driver.cpp
@@ -12,14 +12,15 @@
 #include <sstream>
 
 /// Command line of the load driver; prints its report as JSON. Exit codes: 0
-/// every answer was right, 1 one was not, 2 the command line is wrong.
+/// success, 1 a violation, an unchecked session or a failed preparation (with
+/// --endpoint: a failed request or none done), 2 the command line is invalid.
 namespace {
 
 using namespace redwinggw;
 namespace options = boost::program_options;
 namespace json = boost::json;
 
-/// "name:key:rate:burst:offered".
+/// Parses "name:key:rate:burst:offered".
 load::customer_load customerOf(const std::string &Text) {
   std::istringstream In(Text);
   load::customer_load Load;
--- a/tests/load/load_driver_test.cpp
+++ b/tests/load/load_driver_test.cpp
@@ -15,14 +15,14 @@
 
 namespace {
 
-/// What the stand-in for an instance does wrong, once.
+/// The fault that the stand-in for an instance injects once.
 enum class fault {
   None,
-  LoseAnswer,  ///< Keeps the write, closes without an answer.
-  DoubleWrite, ///< Loses an answer and runs the repeat again.
-  LoseWrite,   ///< Acknowledges a write without keeping it.
+  LoseAnswer,  ///< Stores the write, closes without an answer.
+  DoubleWrite, ///< Loses an answer and runs the retry again.
+  LoseWrite,   ///< Acknowledges a write without storing it.
   StaleRead,   ///< Answers one read with the counter before the last write.
-  MixCustomers ///< Answers with the row of somebody else.
+  MixCustomers ///< Answers with a row of another customer.
 };
 
 /// Serves the counter statements of the driver from memory.
@@ -137,8 +137,8 @@
   cr_assert(Report.ReadsByTarget.at("replica") > 0);
 }
 
-// The instance dies after a write took effect and before its answer. The
-// driver repeats it under the same id and must count it once.
+// The instance closes the connection after a write took effect and before its
+// answer. The driver retries under the same request id and must count it once.
 Test(driver, a_lost_answer_is_repeated_and_counts_once) {
   fake_instance Instance;
   Instance.Fault = fault::LoseAnswer;
@@ -148,8 +148,8 @@
   cr_assert(Report.Violations.empty());
 }
 
-// The checker itself is checked: an instance that breaks one promise once,
-// among some hundred requests, must be found out.
+// Tests the consistency check itself: a single violation among some hundred
+// requests must be detected.
 Test(driver, each_consistency_violation_is_detected) {
   const std::vector<std::pair<fault, violation>> Cases{
       {fault::DoubleWrite, violation::DoubledWrite},
--- a/tests/load/load_report_test.cpp
+++ b/tests/load/load_report_test.cpp
@@ -61,9 +61,10 @@
   cr_assert(Flooded.size() > 2 * Normal.size());
 }
 
-// A customer uses up its burst, is refused, and comes back while the bucket
-// refills. Only refusals before it went above, or after the bucket was full
-// again, are wrongful; else a flooding customer would look ill-treated.
+// A customer uses up its burst, is refused, and sends again while the bucket
+// refills. Only refusals before it exceeded its rate, or after the bucket was
+// full again, are wrongful; otherwise a flooding customer would be reported as
+// wrongly refused.
 Test(report, a_customer_is_inside_again_only_when_its_bucket_was_full) {
   const std::vector<arrival> Arrivals{
       at(base::milliseconds(0)),    at(base::milliseconds(0)),
--- a/tests/load/load_scenarios.cpp
+++ b/tests/load/load_scenarios.cpp
@@ -25,7 +25,8 @@
   return Plan;
 }
 
-/// A key is refused until the sheet is in force at the instance asked.
+/// Waits until each instance accepts a key, at most WaitLimit: an instance
+/// refuses keys until the sheet is in force there.
 base::task<void> awaitKeys(scenario_environment &Environment) {
   constexpr base::milliseconds WaitLimit{10'000};
   constexpr base::milliseconds Pause{100};
--- a/tests/load/measure.cpp
+++ b/tests/load/measure.cpp
@@ -10,8 +10,9 @@
 #include <fstream>
 #include <iostream>
 
-/// The program of tools/measure. Exit codes: 0 every answer was right, 1 one
-/// was not or a scenario did not run, 2 the command line is wrong.
+/// The program behind tools/measure. Exit codes: 0 success, 1 a violation, an
+/// unchecked session or a scenario that did not run, 2 the command line is
+/// invalid.
 namespace {
 
 using namespace redwinggw;
@@ -29,12 +30,13 @@
   std::uint64_t Repetitions = 3;
   base::microseconds Duration{0};
   std::size_t Connections = 0;
-  /// Zero: as many as the deployment has.
+  /// Zero takes the number of the deployment, here and for the services.
   std::size_t Instances = 0;
   std::size_t Services = 0;
 };
 
-/// What the short form runs also for the baselines and the second deployment.
+/// The only scenario that the short form runs for the baselines and the second
+/// deployment.
 constexpr std::string_view ShortScenario = "load";
 
 using scenario_function =
@@ -42,9 +44,9 @@
 
 struct scenario_row {
   std::string_view Name;
-  /// Baselines run it too.
+  /// Runs for the baselines too.
   bool ForBaselines;
-  /// The short form runs it.
+  /// Part of the short form.
   bool InShort;
   scenario_function Run;
 };
@@ -70,7 +72,7 @@
   return All;
 }
 
-/// Runs \p Task to its end on \p Context.
+/// Runs \p Context until \p Task ends; returns its result.
 template <typename Value>
 Value runTask(boost::asio::io_context &Context, base::task<Value> Task) {
   auto Future =
@@ -80,7 +82,7 @@
   return Future.get();
 }
 
-/// Runs the measurements and keeps what came of them.
+/// Runs the measurements and keeps their results.
 class measurement {
 public:
   explicit measurement(measure_options Options)
@@ -101,7 +103,7 @@
 
 private:
   bool wanted(const deployment &Deployment, const policy &Policy) const {
-    // The short form compares the baselines at one deployment's size only.
+    // The short form runs the baselines for the first deployment only.
     const bool Skipped = Options.Short && Policy.Baseline &&
                          Deployment.Name != deployments().front().Name;
     return !Skipped &&
@@ -116,7 +118,7 @@
       return Options.Scenario == Scenario.Name;
     if (Policy.Baseline && !Scenario.ForBaselines)
       return false;
-    // The short form runs the whole set at the first deployment's size only.
+    // The short form runs all its scenarios for the first deployment only.
     const bool Whole = Deployment.Name == deployments().front().Name;
     return !Options.Short || (Whole && !Policy.Baseline && Scenario.InShort) ||
            Scenario.Name == ShortScenario;
--- a/tests/load/measured_fleet.hpp
+++ b/tests/load/measured_fleet.hpp
@@ -7,24 +7,24 @@
 /// The fleets that tools/measure runs.
 namespace redwinggw::load {
 
-/// A policy that is compared, as settings of the instances.
+/// A policy to compare, given as settings of the instances.
 struct policy {
   std::string Name;
   std::string Settings;
-  /// Baselines run only the scenarios that their setting bears on.
+  /// Baselines run only the scenarios that their setting affects.
   bool Baseline = false;
 };
 
-/// The policy of the product first, then the baselines.
+/// The product's own policy first, then the baselines.
 const std::vector<policy> &policies();
 
-/// The processes of \p Deployment under \p Policy.
+/// The fleet to start for \p Deployment under \p Policy.
 fleet::fleet_plan planOf(const deployment &Deployment, const policy &Policy);
 
-/// \p Fleet as the scenarios see it; it outlives the port.
+/// The view of \p Fleet that scenarios use; \p Fleet must outlive it.
 fleet_view viewOf(fleet::running_fleet &Fleet);
 
-/// Starts again the databases that a scenario killed.
+/// Restarts the databases that a scenario killed.
 void restartKilled(fleet::running_fleet &Fleet);
 
 } // namespace redwinggw::load
--- a/tests/load/plan.cpp
+++ b/tests/load/plan.cpp
@@ -16,7 +16,7 @@
     {shape::FilingDay, "filing-day"},
 });
 
-/// Share of the full rate at \p Progress (0 to 1) of the run.
+/// Share of the peak rate that is offered at \p Progress (0 to 1) of the run.
 double levelAt(shape Shape, double Progress) {
   constexpr double Floor = 0.4;
   constexpr double PeakWidth = 0.2;
@@ -50,7 +50,8 @@
   const double Offered = Plan.Customers[Customer].Offered;
   if (Offered <= 0)
     return;
-  // A stream of its own, so that one customer's flood moves no other arrival.
+  // A random stream for each customer, so that one customer's flood does not
+  // change the arrivals of another.
   std::mt19937_64 Random(Plan.Seed * 1000 + Customer);
   std::exponential_distribution<double> Gap(Offered);
   std::uniform_real_distribution<double> Share(0, 1);
@@ -58,7 +59,8 @@
                                                      Plan.Services.size() - 1);
   const double Seconds = std::chrono::duration<double>(Plan.Duration).count();
   for (double At = Gap(Random); At < Seconds; At += Gap(Random)) {
-    // Thinning turns the steady process into one of the wanted shape.
+    // Thinning turns the homogeneous Poisson process into one whose rate
+    // follows the shape.
     if (Share(Random) > levelAt(Plan.Shape, At / Seconds))
       continue;
     Arrivals.push_back({microseconds(std::llround(At * 1e6)), Customer,
--- a/tests/load/plan.hpp
+++ b/tests/load/plan.hpp
@@ -8,13 +8,13 @@
 #include <string_view>
 #include <vector>
 
-/// What a load run sends, worked out before it starts: the arrival times do
-/// not depend on the answers, so a slow fleet cannot thin out its own load.
+/// The requests of a load run, computed before it starts (open loop): arrival
+/// times do not depend on the answers, so a slow fleet cannot reduce its load.
 namespace redwinggw::load {
 
 using base::microseconds;
 
-/// How the offered rate changes over a run; each peaks at the full rate.
+/// How the offered rate changes over a run; each shape peaks at the full rate.
 enum class shape {
   Steady,
   OrderPeak, ///< Rises to a peak in the middle and falls again.
@@ -31,7 +31,7 @@
   /// As in the sheet.
   double Rate = 0;
   double Burst = 0;
-  /// Requests a second at the shape's peak, a transaction counted as one.
+  /// Requests per second at the shape's peak; a transaction counts as one.
   double Offered = 0;
 };
 
@@ -55,7 +55,8 @@
   request_kind Kind = request_kind::SessionRead;
 };
 
-/// Requests that count against the rate: a transaction's begin and runs do.
+/// Tokens that a request takes from the rate: in a transaction the begin and
+/// each run take one.
 double costOf(request_kind Kind);
 
 /// Poisson arrivals of all customers, ascending. The same plan gives the same
--- a/tests/load/probe.cpp
+++ b/tests/load/probe.cpp
@@ -114,7 +114,7 @@
 
 base::task<probe_report> probe(asio::any_io_executor Executor,
                                probe_options Options) {
-  // Connections open before the start, so that the connect cost stays out.
+  // Connections open before the start, so that connecting is not measured.
   constexpr base::milliseconds MinConnectTime{200};
   constexpr base::microseconds TimePerConnection{150};
   const base::microseconds ConnectTime =
--- a/tests/load/probe.hpp
+++ b/tests/load/probe.hpp
@@ -10,23 +10,24 @@
 #include <functional>
 #include <string>
 
-/// Sends one small read over and over, through an instance or straight to an
-/// endpoint, so that the two can be compared in one run.
+/// Repeats one small read, through an instance or directly to an endpoint, to
+/// compare the two in one run.
 namespace redwinggw::load {
 
 struct probe_options {
   http::address Address;
   std::size_t Connections = 1;
   base::microseconds Duration{0};
-  /// Requests a second over all connections; zero sends the next request as
-  /// soon as the last is answered.
+  /// Requests per second over all connections; zero sends the next request as
+  /// soon as the previous one is answered (closed loop).
   double Rate = 0;
-  /// Through an instance: the service, key and declared read. Straight to an
-  /// endpoint when the service is empty.
+  /// Service, key and declared read for a probe through an instance. An empty
+  /// service sends directly to an endpoint.
   std::string Service;
   std::string Key;
   std::string Read;
-  /// Called when all connections are open and before the first request.
+  /// Called at the start of the measurement, after the time allowed for
+  /// connecting.
   std::function<void()> OnStart;
 };
 
--- a/tests/load/process_cost.hpp
+++ b/tests/load/process_cost.hpp
@@ -4,7 +4,7 @@
 
 #include <optional>
 
-/// What a process costs, from /proc.
+/// CPU time and resident memory of a process, read from /proc.
 namespace redwinggw::load {
 
 struct process_cost {
--- a/tests/load/recorder.hpp
+++ b/tests/load/recorder.hpp
@@ -6,18 +6,18 @@
 #include <optional>
 #include <string>
 
-/// Writes the measures of load runs into the figures.
+/// Adds the results of load runs to the figures.
 namespace redwinggw::load {
 
-/// \p Part over \p Whole; zero when there is no whole.
+/// \p Part divided by \p Whole; zero when \p Whole is not positive.
 double shareOf(double Part, double Whole);
 
 struct recorder {
   scenario_environment &Environment;
   std::string Scenario;
-  /// A customer that floods is not among the worst-served.
+  /// The customer that floods, if any; left out of the worst-served customer.
   std::optional<std::size_t> Flooding;
-  /// p99 of the worst-served customer, after noteWorst.
+  /// p99 of the worst-served customer; set by noteWorst.
   double WorstP99 = 0;
 
   void note(std::string Measure, std::string Unit, double Value);
--- a/tests/load/report.cpp
+++ b/tests/load/report.cpp
@@ -40,7 +40,8 @@
   }
 }
 
-/// What one customer got. \p Records are its own, by arrival.
+/// Summarizes one customer. \p Records are those of the customer, ordered by
+/// arrival.
 customer_report reportOfCustomer(const customer_load &Load,
                                  std::span<const request_record> Records) {
   customer_report Report;
@@ -78,8 +79,8 @@
   Report.AllowedByReplica += Record.ServedBy == "replica" ? 1 : 0;
 }
 
-/// Longest time between two acknowledged writes of \p Service, while writes
-/// were offered.
+/// Longest time between two acknowledged writes of \p Service, from the first
+/// offered write to the last.
 microseconds writeGapOf(const std::vector<request_record> &Records,
                         std::size_t Service) {
   std::vector<microseconds> Times;
--- a/tests/load/report.hpp
+++ b/tests/load/report.hpp
@@ -10,13 +10,13 @@
 #include <map>
 #include <span>
 
-/// The figures of a load run, worked out from the record of each request.
+/// The report of a load run, computed from the records of its requests.
 namespace redwinggw::load {
 
 struct request_record {
   arrival Arrival;
   base::outcome Outcome = base::outcome::Unknown;
-  /// Kind of the refusal; empty when done.
+  /// Error kind; empty when done.
   std::string Error;
   /// From the intended start to the final answer.
   microseconds Latency{0};
@@ -25,15 +25,15 @@
   unsigned Retries = 0;
 };
 
-/// Whether an ideal token bucket over the whole fleet would let an arrival
-/// through, and whether the customer has kept inside its rate and burst.
+/// Whether one ideal token bucket for the whole fleet would admit an arrival,
+/// and whether the customer has stayed within its rate and burst.
 struct bucket_verdict {
   bool Entitled = false;
-  /// Entitled, and no arrival was above since the bucket was last full.
+  /// Entitled, and every arrival since the bucket was last full was entitled.
   bool Inside = false;
 };
 
-/// \p Arrivals ascend. Thread safe.
+/// \p Arrivals must be in ascending order. Thread safe.
 std::vector<bucket_verdict> judgeArrivals(double Rate, double Burst,
                                           std::span<const arrival> Arrivals);
 
@@ -44,15 +44,15 @@
   std::uint64_t Done = 0;
   std::uint64_t Unknown = 0;
   std::map<std::string, std::uint64_t> Refused;
-  /// Refusals of requests inside the customer's rate and burst, by kind.
+  /// Refusals of requests inside the customer's rate and burst, by error kind.
   std::map<std::string, std::uint64_t> Wrongful;
   std::uint64_t Inside = 0;
-  /// Requests done above rate and burst over the whole run.
+  /// Tokens of done requests beyond what rate and burst allow over the run.
   double AboveRate = 0;
   microseconds Median{0};
   microseconds P99{0};
 
-  /// Done over entitled, at most one; one when nothing was offered.
+  /// Done divided by entitled, at most one; one when nothing was entitled.
   double goodput() const;
 };
 
@@ -67,7 +67,8 @@
   base::histogram Writes{60};
   std::uint64_t Retried = 0;
   std::map<violation, std::uint64_t> Violations;
-  /// What could not be checked at the end; a pass needs this to be zero.
+  /// Sessions whose counters could not be read at the end; zero in a run that
+  /// passes.
   std::uint64_t Unchecked = 0;
 };
 
@@ -75,7 +76,7 @@
 load_report reportOf(const load_plan &Plan,
                      std::vector<request_record> Records);
 
-/// Wrongful refusals of all customers.
+/// Number of wrongful refusals over all customers.
 std::uint64_t wrongfulOf(const load_report &Report);
 
 boost::json::value toJson(const load_report &Report);
--- a/tests/load/scenarios.hpp
+++ b/tests/load/scenarios.hpp
@@ -14,17 +14,18 @@
 /// The scenarios that tools/measure runs against a fleet of real processes.
 namespace redwinggw::load {
 
-/// A running fleet as the scenarios see it.
+/// Addresses and processes of a running fleet, for the scenarios.
 struct fleet_view {
   std::vector<http::address> Callers;
   std::vector<http::address> Operators;
   std::vector<pid_t> Instances;
   std::vector<database_endpoint> Databases;
-  /// Kills the process of a database at once.
+  /// Kills the process of a database without a graceful stop.
   std::function<void(const std::string &Database)> Kill;
 };
 
-/// What one scenario needs. Members outlive the scenario's task.
+/// The environment of a scenario. The referenced objects must outlive the
+/// scenario's task.
 struct scenario_environment {
   boost::asio::any_io_executor Executor;
   const deployment &Deployment;
@@ -32,7 +33,7 @@
   figures &Figures;
   /// Name of the policy that the fleet runs.
   std::string Policy;
-  /// Seed and number of the repetition.
+  /// Number of the repetition; also the random seed.
   std::uint64_t Repetition = 1;
   /// Length of one load run.
   base::microseconds Duration{0};
@@ -42,30 +43,33 @@
 
 std::string_view faultName(fault_kind Kind);
 
-/// Makes the tables. False when the fleet did not take the writes.
+/// Waits for a limited time until the instances accept keys, then creates the
+/// tables. False when the fleet did not accept the writes.
 base::task<bool> prepareFleet(scenario_environment &Environment);
 
-/// Every customer inside its rate, then one at five times its rate.
+/// Every customer within its rate, then one customer at five times its rate.
 base::task<void> runNormalAndFlood(scenario_environment &Environment);
 
-/// Every customer inside its rate, each at one instance only.
+/// Every customer within its rate, each using one instance only.
 base::task<void> runSkewed(scenario_environment &Environment);
 
-/// The primary of each service fails while writes go on.
+/// The primary of each service fails under a load of writes.
 base::task<void> runFailover(scenario_environment &Environment,
                              fault_kind Kind);
 
-/// Added latency and statements a core against straight to the endpoint.
+/// Compares reads through an instance with reads directly from the endpoint:
+/// added latency and throughput, and statements per CPU core of the instance.
 base::task<void> runProbes(scenario_environment &Environment);
 
-/// CPU for a statement and memory with many caller connections.
+/// CPU per statement and memory of an instance with many caller connections.
 base::task<void> runConnections(scenario_environment &Environment,
                                 std::size_t Connections);
 
-/// The first read of a customer at each instance after a quiet time.
+/// Latency of a customer's first read at each instance after a time without
+/// requests.
 base::task<void> runCold(scenario_environment &Environment);
 
-/// CPU, memory and bytes of each instance without load.
+/// CPU, memory and peer traffic of each instance without load.
 base::task<void> runIdle(scenario_environment &Environment);
 
 } // namespace redwinggw::load
--- a/tests/load/session.hpp
+++ b/tests/load/session.hpp
@@ -4,8 +4,8 @@
 #include <optional>
 #include <string>
 
-/// What a caller knows of one session, and what an answer may say given that.
-/// Each session owns one counter row that each of its writes adds one to.
+/// A caller's session and the consistency check of its answers. Each session
+/// owns one counter row, which each of its writes increments.
 namespace redwinggw::load {
 
 struct session {
@@ -13,15 +13,15 @@
   std::size_t Customer = 0;
   std::size_t Service = 0;
   std::string Token;
-  /// Writes answered "done".
+  /// Writes with the outcome "done".
   std::uint64_t Acknowledged = 0;
-  /// Writes whose outcome stayed unknown: they may stand or not.
+  /// Writes whose outcome stayed unknown: they may have taken effect or not.
   std::uint64_t Unresolved = 0;
-  /// Requests sent, to go over the instances in turn.
+  /// Requests sent; selects the next instance round robin.
   std::size_t Sent = 0;
 };
 
-/// A counter row as an answer gave it; no row counts as zero.
+/// A counter row of an answer; a missing row counts as zero.
 struct counter_row {
   std::string Session;
   std::string Customer;
@@ -32,8 +32,9 @@
 
 std::string_view violationName(violation Violation);
 
-/// What is wrong with \p Row as the answer to \p Session of \p Customer.
-/// \p Final: read after the end of the load, where a missing write is lost.
+/// The violation that \p Row shows as the answer to \p Session of \p Customer,
+/// if any. \p Final marks a read after the end of the load, where a missing
+/// write is lost instead of stale.
 /// Precondition: no request of the session is running.
 std::optional<violation> checkRow(const session &Session,
                                   const std::string &Customer,
