--- a/tests/demo/demo.cpp
+++ b/tests/demo/demo.cpp
@@ -9,8 +9,9 @@
 #include <iostream>
 #include <string_view>
 
-/// What tools/demo runs: a small fleet of real processes through an ordinary
-/// day and a failover. Exits 0 only if every answer was right.
+/// The program behind tools/demo: runs a small fleet of real processes through
+/// ordinary traffic, a failover and a graceful stop. Exits 0 only if all checks
+/// pass.
 namespace {
 
 using namespace redwinggw;
@@ -23,7 +24,7 @@
 constexpr std::size_t WritesShown = 100;
 constexpr std::chrono::seconds StopPatience{30};
 
-/// Counts the answers that were not right.
+/// Prints the result of each check and counts the failed ones.
 struct verdict {
   unsigned Wrong = 0;
 
@@ -73,9 +74,9 @@
                      Customer.Name + " through " + Instance->Plan.Name +
                          ", read from the " + textIn(Read.Body, "served_by"));
     }
-  caller Stranger("a key that nobody gave", Service);
-  const reply Refused = Stranger.read(Fleet.instances().front()->Callers,
-                                      "select count(*) from bag");
+  caller UnknownCaller("a key that nobody gave", Service);
+  const reply Refused = UnknownCaller.read(Fleet.instances().front()->Callers,
+                                           "select count(*) from bag");
   Verdict.expect(outcomeOf(Refused) == "not_run",
                  "a key that nobody gave is refused");
 }
--- a/tests/load/driver.cpp
+++ b/tests/load/driver.cpp
@@ -22,7 +22,7 @@
 using base::milliseconds;
 
 constexpr auto Token = asio::as_tuple(asio::use_awaitable);
-constexpr milliseconds RepeatPause{100};
+constexpr milliseconds RetryPause{100};
 constexpr milliseconds RefusedPause{250};
 constexpr milliseconds Grace{1000};
 constexpr int CheckTries = 40;
@@ -91,7 +91,7 @@
     const instant Deadline = base::now() + Options.Deadline + Grace;
     Answer =
         co_await Caller.post(Instance, Target, keyOf(Session), Body, Deadline);
-    if (!mayGoElsewhere(Answer))
+    if (!mayTryAnotherInstance(Answer))
       break;
   }
   co_return Answer;
@@ -113,8 +113,8 @@
     co_await performTransaction(Session, Record);
     break;
   }
-  // From the intended start: a driver or fleet that falls behind makes the
-  // latency longer, not the sample smaller.
+  // Counts from the intended start, so that a driver or fleet that falls behind
+  // shows as latency instead of as fewer samples (coordinated omission).
   Record.Latency = base::now() - (Start + Arrival.At);
   Records.push_back(std::move(Record));
   Free[{Arrival.Customer, Arrival.Service}].push_back(&Session);
@@ -140,7 +140,7 @@
     session Session;
     Session.Service = Service;
     json::object Body = bodyFor(Session, "write");
-    nameRequest(Body);
+    addRequestId(Body);
     Body["sql"] = CreateSql;
     caller_answer Answer;
     for (int Try = 0; Try < CheckTries && !Answer.isDone(); ++Try) {
@@ -153,8 +153,8 @@
   co_return Prepared;
 }
 
-/// Compares the counter rows of one customer in one service with what its
-/// sessions were told; false when they could not be read.
+/// Compares the counter rows of one customer in one service with the answers
+/// that its sessions got; false when the rows could not be read.
 base::task<bool> driver::checkSessions(std::size_t Customer,
                                        std::size_t Service) {
   session Reader;
@@ -196,7 +196,7 @@
 }
 
 base::task<load_report> driver::run() {
-  co_await sendAll(base::now() + RepeatPause);
+  co_await sendAll(base::now() + RetryPause);
   co_await checkEnd();
   load_report Report = reportOf(Plan, std::move(Records));
   Report.Violations = Violations;
--- a/tests/load/load_driver_test.cpp
+++ b/tests/load/load_driver_test.cpp
@@ -15,14 +15,14 @@
 
 namespace {
 
-/// What the stand-in for an instance does wrong, once.
+/// The fault that the stand-in for an instance injects once.
 enum class fault {
   None,
-  LoseAnswer,  ///< Keeps the write, closes without an answer.
-  DoubleWrite, ///< Loses an answer and runs the repeat again.
-  LoseWrite,   ///< Acknowledges a write without keeping it.
+  LoseAnswer,  ///< Stores the write, closes without an answer.
+  DoubleWrite, ///< Loses an answer and runs the retry again.
+  LoseWrite,   ///< Acknowledges a write without storing it.
   StaleRead,   ///< Answers one read with the counter before the last write.
-  MixCustomers ///< Answers with the row of somebody else.
+  MixCustomers ///< Answers with a row of another customer.
 };
 
 /// Serves the counter statements of the driver from memory.
@@ -31,9 +31,9 @@
   std::map<std::string, std::pair<std::string, std::uint64_t>> Counters;
   std::map<std::string, bool> Seen;
   std::uint64_t Requests = 0;
-  std::uint64_t Repeats = 0;
+  std::uint64_t Retries = 0;
 
-  bool strikes(fault Kind) {
+  bool injects(fault Kind) {
     constexpr std::uint64_t Late = 40;
     if (Fault != Kind || Requests < Late)
       return false;
@@ -47,15 +47,15 @@
     const std::string Session(Params.at(0).as_string());
     auto &[Customer, Count] = Counters[Session];
     Customer = Params.at(1).as_string();
-    const bool Repeat = !Seen.emplace(Id, true).second;
-    Repeats += Repeat ? 1 : 0;
-    if (!Repeat && !strikes(fault::LoseWrite))
+    const bool Retry = !Seen.emplace(Id, true).second;
+    Retries += Retry ? 1 : 0;
+    if (!Retry && !injects(fault::LoseWrite))
       ++Count;
-    if (strikes(fault::DoubleWrite)) {
+    if (injects(fault::DoubleWrite)) {
       Seen.erase(Id);
       return {0, "", "", 0};
     }
-    if (strikes(fault::LoseAnswer))
+    if (injects(fault::LoseAnswer))
       return {0, "", "", 0};
     return {200, R"({"outcome":"done","session":"t","served_by":"primary"})"};
   }
@@ -68,8 +68,8 @@
     for (const auto &[Session, Row] : Counters) {
       if (All ? !Session.starts_with(Prefix) : Session != Asked)
         continue;
-      const bool Stale = !All && Row.second > 0 && strikes(fault::StaleRead);
-      const bool Mixed = !All && strikes(fault::MixCustomers);
+      const bool Stale = !All && Row.second > 0 && injects(fault::StaleRead);
+      const bool Mixed = !All && injects(fault::MixCustomers);
       Rows.push_back(json::array{Session, Mixed ? "other" : Row.first,
                                  Row.second - (Stale ? 1 : 0)});
     }
@@ -137,20 +137,20 @@
   cr_assert(Report.ReadsByTarget.at("replica") > 0);
 }
 
-// The instance dies after a write took effect and before its answer. The
-// driver repeats it under the same id and must count it once.
+// The instance closes the connection after a write took effect and before its
+// answer. The driver retries under the same request id and must count it once.
 Test(driver, a_lost_answer_is_repeated_and_counts_once) {
   fake_instance Instance;
   Instance.Fault = fault::LoseAnswer;
   const load_report Report = runAgainst(Instance);
-  cr_assert(Instance.Repeats == 1);
-  cr_assert(Report.Repeated > 0);
+  cr_assert(Instance.Retries == 1);
+  cr_assert(Report.Retried > 0);
   cr_assert(Report.Violations.empty());
 }
 
-// The checker itself is checked: an instance that breaks one promise once,
-// among some hundred requests, must be found out.
-Test(driver, each_broken_promise_is_found) {
+// Tests the consistency check itself: a single violation among some hundred
+// requests must be detected.
+Test(driver, each_consistency_violation_is_detected) {
   const std::vector<std::pair<fault, violation>> Cases{
       {fault::DoubleWrite, violation::DoubledWrite},
       {fault::LoseWrite, violation::LostWrite},
--- a/tests/load/measure.cpp
+++ b/tests/load/measure.cpp
@@ -10,8 +10,9 @@
 #include <fstream>
 #include <iostream>
 
-/// The program of tools/measure. Exit codes: 0 every answer was right, 1 one
-/// was not or a scenario did not run, 2 the command line is wrong.
+/// The program behind tools/measure. Exit codes: 0 success, 1 a violation, an
+/// unchecked session or a scenario that did not run, 2 the command line is
+/// invalid.
 namespace {
 
 using namespace redwinggw;
@@ -29,21 +30,23 @@
   std::uint64_t Repetitions = 3;
   base::microseconds Duration{0};
   std::size_t Connections = 0;
-  /// Zero: as many as the deployment has.
+  /// Zero takes the number of the deployment, here and for the services.
   std::size_t Instances = 0;
   std::size_t Services = 0;
 };
 
-/// What the short form runs also for the baselines and the second deployment.
+/// The only scenario that the short form runs for the baselines and the second
+/// deployment.
 constexpr std::string_view ShortScenario = "load";
 
-using scenario_function = std::function<base::task<void>(bench &)>;
+using scenario_function =
+    std::function<base::task<void>(scenario_environment &)>;
 
 struct scenario_row {
   std::string_view Name;
-  /// Baselines run it too.
+  /// Runs for the baselines too.
   bool ForBaselines;
-  /// The short form runs it.
+  /// Part of the short form.
   bool InShort;
   scenario_function Run;
 };
@@ -52,19 +55,24 @@
   static const std::vector<scenario_row> All{
       {"idle", false, true, runIdle},
       {"cold", false, true, runCold},
-      {"load", true, true, runCalmAndFlood},
+      {"load", true, true, runNormalAndFlood},
       {"skewed", true, true, runSkewed},
       {"probes", false, true, runProbes},
       {"pause", false, false,
-       [](bench &Bench) { return runFailover(Bench, fault_kind::Pause); }},
+       [](scenario_environment &Environment) {
+         return runFailover(Environment, fault_kind::Pause);
+       }},
       {"cut", false, true,
-       [](bench &Bench) { return runFailover(Bench, fault_kind::Cut); }},
-      {"kill", false, true,
-       [](bench &Bench) { return runFailover(Bench, fault_kind::Kill); }}};
+       [](scenario_environment &Environment) {
+         return runFailover(Environment, fault_kind::Cut);
+       }},
+      {"kill", false, true, [](scenario_environment &Environment) {
+         return runFailover(Environment, fault_kind::Kill);
+       }}};
   return All;
 }
 
-/// Runs \p Task to its end on \p Context.
+/// Runs \p Context until \p Task ends; returns its result.
 template <typename Value>
 Value runTask(boost::asio::io_context &Context, base::task<Value> Task) {
   auto Future =
@@ -74,7 +82,7 @@
   return Future.get();
 }
 
-/// Runs the measurements and keeps what came of them.
+/// Runs the measurements and keeps their results.
 class measurement {
 public:
   explicit measurement(measure_options Options)
@@ -95,7 +103,7 @@
 
 private:
   bool wanted(const deployment &Deployment, const policy &Policy) const {
-    // The short form compares the baselines at one deployment's size only.
+    // The short form runs the baselines for the first deployment only.
     const bool Skipped = Options.Short && Policy.Baseline &&
                          Deployment.Name != deployments().front().Name;
     return !Skipped &&
@@ -110,7 +118,7 @@
       return Options.Scenario == Scenario.Name;
     if (Policy.Baseline && !Scenario.ForBaselines)
       return false;
-    // The short form runs the whole set at the first deployment's size only.
+    // The short form runs all its scenarios for the first deployment only.
     const bool Whole = Deployment.Name == deployments().front().Name;
     return !Options.Short || (Whole && !Policy.Baseline && Scenario.InShort) ||
            Scenario.Name == ShortScenario;
@@ -144,31 +152,34 @@
   void runScenarios(fleet::running_fleet &Fleet, const deployment &Deployment,
                     const policy &Policy) {
     boost::asio::io_context Context;
-    const fleet_port Port = portOf(Fleet);
-    bench Bench{
-        Context.get_executor(), Deployment, Port, Figures, Policy.Name, 1,
+    const fleet_view View = viewOf(Fleet);
+    scenario_environment Environment{
+        Context.get_executor(), Deployment, View, Figures, Policy.Name, 1,
         Options.Duration};
-    if (!runTask(Context, prepareFleet(Bench)))
+    if (!runTask(Context, prepareFleet(Environment)))
       throw std::runtime_error("the fleet does not take writes");
     if (Options.Connections > 0)
-      runTask(Context, runConnections(Bench, Options.Connections));
-    for (; Bench.Repetition <= Options.Repetitions; ++Bench.Repetition)
+      runTask(Context, runConnections(Environment, Options.Connections));
+    for (; Environment.Repetition <= Options.Repetitions;
+         ++Environment.Repetition)
       for (const scenario_row &Scenario : scenarios())
         if (wanted(Scenario, Deployment, Policy))
-          runScenario(Context, Fleet, Bench, Scenario);
+          runScenario(Context, Fleet, Environment, Scenario);
   }
 
   void runScenario(boost::asio::io_context &Context,
-                   fleet::running_fleet &Fleet, bench &Bench,
+                   fleet::running_fleet &Fleet,
+                   scenario_environment &Environment,
                    const scenario_row &Scenario) {
-    const std::string Name = Bench.Deployment.Name + ", " + Bench.Policy +
-                             ", " + std::string(Scenario.Name);
+    const std::string Name = Environment.Deployment.Name + ", " +
+                             Environment.Policy + ", " +
+                             std::string(Scenario.Name);
     if (isLate()) {
       NotRun.push_back(Name + ": no time left in the short form");
       return;
     }
     std::cerr << "measure: " << Name << "\n";
-    runTask(Context, Scenario.Run(Bench));
+    runTask(Context, Scenario.Run(Environment));
     restartKilled(Fleet);
   }
 
--- a/tests/standins/endpoint/runs.cpp
+++ b/tests/standins/endpoint/runs.cpp
@@ -9,15 +9,15 @@
 
 using data::endpoint_role;
 
-/// A run that waits longer for a lock is given up, which also ends two
-/// transactions that wait for each other.
+/// A run that waits longer for a lock is refused, which also resolves
+/// deadlocks.
 constexpr std::chrono::seconds LockTimeout{1};
 constexpr std::chrono::milliseconds LockRetry{1};
 
 constexpr std::string_view NotPrimary = "not_primary";
 constexpr std::string_view TermReplaced = "term_replaced";
 
-/// Notes the refusal that \p Result stands for.
+/// Converts a failed \p Result to the result of the attempt and its refusal.
 attempt failedAttempt(const sql_result &Result, run_refusal &Refusal) {
   if (Result.Status == sql_status::Locked)
     return attempt::Locked;
@@ -43,11 +43,11 @@
   if (auto Fault = checkShape(Connection, Request))
     co_return refuse(*Fault);
   run_progress Progress;
-  Progress.Alone = !Connection.Transaction && !Request.Begin;
+  Progress.AutoCommit = !Connection.Transaction && !Request.Begin;
   Progress.Request = std::move(Request);
-  const base::instant GiveUp = base::now() + LockTimeout;
+  const base::instant LockDeadline = base::now() + LockTimeout;
   attempt Outcome = attempt::Locked;
-  while (Outcome == attempt::Locked && base::now() < GiveUp) {
+  while (Outcome == attempt::Locked && base::now() < LockDeadline) {
     Outcome = co_await tryInSlot(Connection, Progress, Refusal);
     if (Outcome == attempt::Locked)
       co_await pause(Executor, LockRetry);
@@ -85,7 +85,7 @@
 base::task<attempt> endpoint_standin::tryInSlot(database_connection &Connection,
                                                 run_progress &Progress,
                                                 run_refusal &Refusal) {
-  co_await Slots.take();
+  co_await Slots.acquire();
   ++Counters.Running;
   Counters.MaxRunning = std::max(Counters.MaxRunning, Counters.Running);
   const base::instant Start = base::now();
@@ -95,12 +95,12 @@
   const attempt Outcome = tryRun(Connection, Progress, Refusal);
   Progress.Busy += base::now() - Start;
   --Counters.Running;
-  Slots.give();
+  Slots.release();
   co_return Outcome;
 }
 
-/// Runs without a pause between the check of the term and the commit, so that
-/// no seal or promotion comes between them.
+/// Does not suspend between the check of the term and the commit, so that no
+/// seal or promotion can be handled in between.
 attempt endpoint_standin::tryRun(database_connection &Connection,
                                  run_progress &Progress, run_refusal &Refusal) {
   if (const attempt Begun = begin(Connection, Progress, Refusal);
@@ -115,8 +115,9 @@
     sql_result Result = Database.execute(Statement, Transaction.ReadOnly);
     if (Result.Status != sql_status::Ok) {
       const attempt Outcome = failedAttempt(Result, Refusal);
-      // Alone, nothing is kept while it waits, so that nobody waits for it.
-      if (Progress.Alone) {
+      // An autocommit run starts over after the wait. It holds no locks
+      // meanwhile, so that no other transaction waits for it.
+      if (Progress.AutoCommit) {
         abandon(Connection);
         Progress.Results.clear();
       }
@@ -161,7 +162,7 @@
     abandon(Connection);
     return attempt::Finished;
   }
-  if (!Progress.Alone && !Progress.Request.Commit)
+  if (!Progress.AutoCommit && !Progress.Request.Commit)
     return attempt::Finished;
   const sql_status Status = Connection.Handle->commit();
   if (Status != sql_status::Ok)
@@ -183,7 +184,8 @@
   if (!IsPrimary && (!ReadOnly || Request.ExpectTerm))
     return run_refusal{NotPrimary, "this is not the primary"};
   if (Request.ExpectTerm && *Request.ExpectTerm != Replica.Term)
-    return run_refusal{TermReplaced, "the term is another"};
+    return run_refusal{TermReplaced,
+                       "the expected term is not the current one"};
   return std::nullopt;
 }
 
