--- a/packages/control/include/redwinggw/control/centralized_buckets.hpp
+++ b/packages/control/include/redwinggw/control/centralized_buckets.hpp
@@ -20,16 +20,21 @@
 /// and the others ask this owner for each operation: a round trip between
 /// instances, which is short compared with any operation. Bounds:
 ///
-/// - The owner is chosen by hash among the instances that are up. Only an
-///   instance in contact with a majority owns buckets. It is replaced only when
-///   nobody has been in contact with it for as long as contact counts for a
-///   majority, and its successor starts a delay later; so an owner that was cut
-///   off has stopped by then. A new owner starts with an empty bucket. Where no
-///   instance in contact has centralized buckets for long, as after the loss of
-///   all, there is no former owner to wait for.
-/// - The owner's bucket holds what is left of the rate besides the shares of
-///   silent instances, as where rates are divided: those on the other side of a
-///   partition go on with these shares.
+/// - Each instance chooses the owner by hash among the instances that it sees
+///   alive. So the owner changes when an instance joins, leaves or becomes
+///   suspect. Only an instance in contact with a majority owns buckets.
+/// - A new owner starts a delay after it was chosen. An owner that was cut off
+///   becomes suspect only after a longer silence than the one after which it
+///   loses contact, so it has stopped by the end of the delay. There is no
+///   delay after an owner that announced that it leaves, as it has stopped
+///   already.
+/// - A new owner starts with an empty bucket. Where no instance in contact has
+///   centralized buckets for more than a moment, as after the loss of all,
+///   there is no former owner: the new one does not wait, and starts with the
+///   tokens of a fraction of a second.
+/// - The owner's bucket gets the rate minus the shares that silent instances
+///   keep, as where rates are divided: those on the other side of a partition
+///   go on with these shares.
 /// - An instance that is not in contact with a majority divides rates by
 ///   demand, see demand_shares.hpp, once the owners have noticed that it is
 ///   silent.
@@ -38,13 +43,15 @@
 namespace redwinggw::control {
 
 /// Chooses the owner of each customer's bucket, if buckets are centralized at
-/// all. Call it after each divideRates with the same arguments; it replaces the
-/// shares computed there.
+/// all: in a fleet with relays, while this instance is in contact with a
+/// majority and \p InContact is set. Call it after each divideRates with the
+/// same arguments; it replaces the shares computed there.
 void centralizeBuckets(demand_shares &Shares, const membership &Membership,
                        bool InContact, base::instant Now);
 
 /// Whether this instance has centralized buckets for long enough that there may
-/// have been owners; the others have to know this.
+/// have been owners; false for a moment after isCentralized has become true.
+/// The others have to know this.
 bool hasCentralizedBuckets(const demand_shares &Shares, base::instant Now);
 
 /// Whether one instance owns the whole bucket of \p Customer.
@@ -56,8 +63,10 @@
                           const membership &Membership,
                           std::string_view Customer);
 
-/// Within this time another owner has usually been chosen in place of one that
-/// is gone.
+/// The time after which callers are told to retry when the owner did not
+/// answer: another one may have been chosen then if it is gone. The change
+/// takes longer from its last report on: RelayedSuspectAfter, and the delay of
+/// the new owner.
 constexpr base::milliseconds NextOwnerWithin{900};
 
 /// An owner's answer to a request for one operation's token.
--- a/packages/control/include/redwinggw/control/config_freshness.hpp
+++ b/packages/control/include/redwinggw/control/config_freshness.hpp
@@ -31,14 +31,21 @@
 /// 3. Instances that have not read the store since their start know nothing:
 ///    they do not count as in contact, and they do not serve either.
 ///
-/// Assumption: between two reads of the platform's list fewer instances
-/// change than the two majorities have in common.
+/// Assumption: between two reads of the platform's list so few instances join
+/// or leave that a majority by the old list and one by the new list still share
+/// an instance.
 namespace redwinggw::control {
 
 enum class config_freshness {
-  Current,  ///< the configuration was the head at most MaxAge ago
-  Outage,   ///< no instance reads the store, nothing can have been accepted
-  Isolated, ///< a newer version may have been accepted: serve nothing
+  /// The configuration was the head at most MaxAge ago.
+  Current,
+  /// No recent read of the store is known. This instance is in contact with a
+  /// majority and knows no higher head, so no newer version can have been
+  /// confirmed to an operator for longer than ContactTimeout.
+  Outage,
+  /// A newer version may have been accepted, or is known: serve nothing. Also
+  /// for an instance in contact with a majority, if it knows a higher head.
+  Isolated,
 };
 std::string_view configFreshnessName(config_freshness Freshness);
 
--- a/packages/control/include/redwinggw/control/config_in_force.hpp
+++ b/packages/control/include/redwinggw/control/config_in_force.hpp
@@ -5,8 +5,7 @@
 #include <optional>
 #include <vector>
 
-/// The configuration that one instance has in force. Decision logic without
-/// I/O.
+/// The configuration that one instance has in force. Decisions without I/O.
 namespace redwinggw::control {
 
 /// Empty after a start: nothing is in force until the store has been read.
--- a/packages/control/include/redwinggw/control/config_rows.hpp
+++ b/packages/control/include/redwinggw/control/config_rows.hpp
@@ -8,8 +8,8 @@
 #include <optional>
 #include <string>
 
-/// The configuration as rows of the platform's table service: one head row with
-/// the version in force, and one row per version with its sheet.
+/// The configuration as rows of the store: one head row with the version in
+/// force, and one row per version with its sheet.
 namespace redwinggw::control {
 
 inline constexpr const char *HeadKey = "config/head";
@@ -26,7 +26,7 @@
   base::config_version Version = 0;
   /// Id of the submission that created this version.
   std::string Submission;
-  /// Version of the head's row in the table, for the condition of the next
+  /// Version of the head's row in the store, for the condition of the next
   /// commit.
   std::uint64_t RowVersion = 0;
 };
@@ -35,7 +35,7 @@
 struct accepted_sheet {
   base::config_version Version = 0;
   std::string Submission;
-  /// Digest of Text, which is in the form that renderSheet writes.
+  /// SHA-256 digest of Text, which is in the form that renderSheet writes.
   std::string Digest;
   std::string Text;
   /// Wall clock time of the acceptance in milliseconds, for display only.
--- a/packages/control/include/redwinggw/control/config_submission.hpp
+++ b/packages/control/include/redwinggw/control/config_submission.hpp
@@ -8,7 +8,7 @@
 #include <variant>
 #include <vector>
 
-/// Changes of the configuration. Decision logic without I/O.
+/// Changes of the configuration. Decisions without I/O.
 ///
 /// One conditional commit accepts a change: it writes the head row and the row
 /// of the new version on condition that the head row is unchanged since it was
--- a/packages/control/include/redwinggw/control/demand_shares.hpp
+++ b/packages/control/include/redwinggw/control/demand_shares.hpp
@@ -20,6 +20,11 @@
 /// instance announces its demand in its heartbeats, and admits the share of the
 /// rate that its demand has in the sum.
 ///
+/// One of two ways to enforce rates. This one is used with the setting
+/// platform.kind = native; a share is a fraction of the rate. With
+/// platform.kind = own, share_service.hpp is used, where a share is a grant of
+/// tokens that expire.
+///
 /// - No instance allocates the shares: none is missed when it fails, the store
 ///   is not needed, and no statement waits for another instance.
 /// - The shares add up to one as far as all instances use the same numbers: an
@@ -32,7 +37,7 @@
 ///   else takes over anything. An isolated instance, with neither a majority
 ///   nor the store, admits half of its share. Two sides of a partition then
 ///   admit at most 1.04 of the whole, whichever of them reaches the store;
-///   operators tolerate 1.1.
+///   operators accept up to 1.1.
 /// - Demand that relays pass on is a few heartbeats old. With relays, an
 ///   instance counts its own demand as it announced it that long ago: if its
 ///   own growing demand counted before that of the others, a flood that begins
@@ -40,8 +45,8 @@
 ///   everywhere.
 /// - A relay adds up the demand of the instances that report to it and the
 ///   shares of those that fell silent. Its sums count as one instance with all
-///   of that demand. Two relays add up the same zone; a reader uses one of
-///   them.
+///   of that demand. Two relays add up the same zone; an instance that receives
+///   the sums of both uses those of one.
 /// - An instance that leaves keeps its share until it sends its callers away.
 /// - A new process starts with empty buckets, so that a restart of all does not
 ///   spend a burst twice, and with the idle share until it is in contact with a
@@ -55,8 +60,8 @@
   base::milliseconds Window{2000};
   /// What all instances together admit above the rate and burst. The shares
   /// never fit the arrivals exactly; without some slack each mismatch would
-  /// refuse a statement within the rate. Stays below the tenth and the twenty
-  /// tokens that operators allow.
+  /// refuse a statement within the rate. Stays below the tenth of the rate and
+  /// the twenty tokens of excess that operators accept.
   double RateSlack = 1.05;
   double ExtraTokens = 14;
   /// Fraction of an equal share that an instance has without any demand, for
@@ -66,9 +71,9 @@
   /// which come several at once or not at all: with a share of one operation,
   /// half are refused. Such a share is not enforced while the demand of the
   /// fleet is below LowDemandFraction of the rate. A flood shows in the others'
-  /// heartbeats after about 0.4 s; at eight times the usual demand it takes 1.9
-  /// times the rate by then, which the burst and the operators' tolerance
-  /// cover.
+  /// heartbeats after about 0.4 s. Until then, a customer with eight times its
+  /// usual demand is served 1.9 times its rate, which the burst and the excess
+  /// that operators accept cover.
   double MinDepth = 3;
   double LowDemandFraction = 0.8;
   /// Operations admitted that way without a token become a debt of at most this
@@ -94,13 +99,14 @@
   /// instances: a large share is that of the other side of a partition, which
   /// goes on.
   double MaxTakenOver = 0.04;
-  /// By then a new instance has received the others' heartbeats, if it can:
-  /// five heartbeats.
+  /// Until this long after its start a new instance without contact to a
+  /// majority takes at most an equal share, then at most the idle share. Within
+  /// this time, five heartbeats, it receives those of the others if it can.
   base::milliseconds FirstHeartbeats{1000};
   /// A new instance without contact to a majority serves the idle share only,
-  /// for at most this long: longer than rows of dead instances stay listed, and
-  /// not for ever where more than half of the listed instances are gone for
-  /// good.
+  /// for at most this long. This is longer than rows of dead instances stay
+  /// listed. There is a limit since a majority may never be reached, where more
+  /// than half of the listed instances are gone for good.
   base::milliseconds MaxStartupTime{10000};
   /// An instance that was isolated for this long admits half of its share.
   base::milliseconds IsolatedAfter{1500};
@@ -130,8 +136,8 @@
   double Share = 0;
   /// Shares that silent sources had at their last heartbeat, by name.
   std::map<std::string, double, std::less<>> SilentShares;
-  /// Sums that a relay passes on: of the instances that report here, and of all
-  /// instances with this one.
+  /// Sums of demand that a relay passes on: of the instances that report here,
+  /// and of all instances with this one.
   source_demand Zone;
   source_demand Fleet;
   /// At the last division: the demand of all fresh sources and of this
@@ -152,15 +158,17 @@
   /// bucket, and how many tokens the bucket then holds.
   base::instant OwnsFrom;
   double InitialTokens = 0;
-  /// The share is large enough for random arrivals, or there is no recent
-  /// demand of the others to decide by instead.
+  /// The share is enforced. False: it is too small for that (MinDepth), and the
+  /// fleet's demand decides instead (LowDemandFraction). Always true while
+  /// there is no recent demand of the others to decide by.
   bool Divisible = true;
 };
 
 /// An instance that may own buckets.
 struct owner_candidate {
+  /// rendezvousHash of its name.
   std::uint32_t NameHash = 0;
-  /// hashOf its name.
+  /// wire::hashOf its name, by which it is found in membership.
   std::uint32_t Instance = 0;
 
   friend bool operator==(const owner_candidate &,
@@ -217,8 +225,10 @@
 /// Tokens of \p Account beyond what its own callers are about to need.
 double spareTokens(const demand_shares &Shares, const demand_account &Account);
 
-/// Recomputes the shares. Call at each heartbeat. \p InContact: with a majority
-/// of the instances or with the store.
+/// Recomputes the shares. Call at each heartbeat. \p InContact: this instance
+/// is in contact with a majority of the instances, or knows of a recent read of
+/// the store; otherwise it counts as isolated. Not to be confused with
+/// isInContact, which is about one member.
 void divideRates(demand_shares &Shares, const membership &Membership,
                  bool InContact, base::instant Now);
 
@@ -238,7 +248,9 @@
 /// Whether an operation is admitted.
 struct demand_verdict {
   bool Admitted = false;
-  /// A token was taken for it: settleDemandToken must follow.
+  /// The caller must call settleDemandToken once it is known whether the
+  /// operation ran. False for an admitted operation whose token is not given
+  /// back, because the share is too small to enforce.
   bool Counted = false;
   /// Admitted: how long to wait first. Refused: when a token is available.
   base::microseconds Wait{0};
--- a/packages/control/include/redwinggw/control/membership.hpp
+++ b/packages/control/include/redwinggw/control/membership.hpp
@@ -15,8 +15,8 @@
 #include <vector>
 
 /// Group membership: which instances exist and what they report, from the
-/// platform's instance list, which lags behind, and from heartbeats. Pure
-/// decision logic without I/O; peer_service.hpp adds the sockets and timers.
+/// platform's instance list, which lags behind, and from heartbeats. Decisions
+/// without I/O; peer_service.hpp adds the sockets and timers.
 namespace redwinggw::control {
 
 /// Who this instance is.
@@ -100,9 +100,10 @@
   bool CentralizesBuckets = false;
   /// It received an answer from the store at this time or later.
   std::optional<base::instant> StoreContactAt;
-  /// Highest version known to be in force there, and an upper bound of the
-  /// version that it can have known of at LastSeenAt.
+  /// Highest version known to be in force there.
   base::config_version KnownVersion = 0;
+  /// At LastSeenAt it knew of no higher version than this. While this is above
+  /// the version in force here, digests leave the member out.
   base::config_version PossibleVersion = 0;
   /// The newest report and a lower bound of the time when it was made.
   wire::peer_report Report;
@@ -122,15 +123,20 @@
   base::config_version HeadVersion = 0;
   /// HeadVersion was still the head at this time or later.
   std::optional<base::instant> HeadReadAt;
-  /// Upper bounds of the time of the last answer of the store: to this
-  /// instance; to one that reported it directly; and to one that reported it to
-  /// a direct reporter. Reports are not passed on any further: the transit time
-  /// adds to the error at each hop, so a report that circulated among the
+  /// \name Upper bounds of the time of the last answer of the store
+  ///
+  /// Reports are not passed on any further than to TwoHopContactAt: the transit
+  /// time adds to the error at each hop, so a report that circulated among the
   /// instances would look ever more recent, and a share allocator would mistake
   /// a long outage for one that has ended.
+  /// @{
+  /// The last answer to this instance.
   std::optional<base::instant> OwnContactAt;
+  /// The last answer to another instance, as that one reported it.
   std::optional<base::instant> PeerContactAt;
+  /// The last answer to an instance that reported it to one which passed it on.
   std::optional<base::instant> TwoHopContactAt;
+  /// @}
   /// When this instance's own last read was sent.
   std::optional<base::instant> ReadAt;
 };
@@ -164,7 +170,8 @@
   /// Whether this instance acted as a relay when it last sent heartbeats.
   bool Relay = true;
   /// Whether digests list other instances. False while this instance does not
-  /// process everything that they report.
+  /// accept everything that those report: an instance that counted them as
+  /// alive by its digests would not learn what it has not accepted.
   bool RelaysReports = true;
   /// A relay reported an instance that is not on the list.
   bool UnlistedReported = false;
@@ -217,9 +224,9 @@
                                    base::instant Now);
 
 /// Interval between two reads of the list. It grows with the fleet, so that
-/// all instances together read the list at most 32 times a second: with one
-/// read a second each, 790 instances would take a large part of the store's
-/// read capacity.
+/// all instances together read the list at most 32 times a second. One read a
+/// second by each of 790 instances would take a large part of the store's read
+/// capacity.
 base::milliseconds listInterval(const membership &Membership);
 
 /// Whether onTick would send heartbeats.
--- a/packages/control/include/redwinggw/control/relays.hpp
+++ b/packages/control/include/redwinggw/control/relays.hpp
@@ -7,14 +7,14 @@
 #include <vector>
 
 /// Chooses the instances that relay membership for the others of their
-/// availability zone. Decision logic without I/O.
+/// availability zone. Decisions without I/O.
 ///
-/// In a small fleet each instance is a relay: it sends its heartbeats to all
-/// others. In a larger one each availability zone has two relays. The others of
-/// the zone report to both and receive the state of the fleet in their answers;
-/// the relays of all zones send each other heartbeats. So the number of
-/// messages of an instance that is no relay does not depend on the fleet's
-/// size.
+/// In a small fleet each instance sends its heartbeats to all others; it counts
+/// as a relay here, though it passes on nothing. In a larger one each
+/// availability zone has two relays. The others of the zone report to both and
+/// receive the state of the fleet in their answers; the relays of all zones
+/// send each other heartbeats. So the number of messages of an instance that is
+/// no relay does not depend on the fleet's size.
 ///
 /// Each instance chooses on its own: relays are the highest-ranked of those
 /// that answer. An instance answers every report, so instances that choose
--- a/packages/control/include/redwinggw/control/share_bucket.hpp
+++ b/packages/control/include/redwinggw/control/share_bucket.hpp
@@ -33,7 +33,8 @@
   bool MatchNumbers = true;
 };
 
-/// What a customer is entitled to, and how long a grant is valid.
+/// The limits of one customer: its rate and burst, and how long a grant is
+/// valid.
 struct share_plan {
   double Rate = 0;
   double Burst = 0;
--- a/packages/control/include/redwinggw/control/share_consumer.hpp
+++ b/packages/control/include/redwinggw/control/share_consumer.hpp
@@ -13,7 +13,7 @@
 #include <string_view>
 #include <vector>
 
-/// The tokens granted to one instance and the requests that wait for tokens
+/// The tokens granted to one instance and the operations that wait for tokens
 /// there.
 namespace redwinggw::control {
 
@@ -25,13 +25,13 @@
   base::microseconds RequestAhead{125'000};
   /// A request without an answer counts as lost after this time.
   base::microseconds ResendAfter{40'000};
-  /// A request waits this long after the allocator first had no token for it.
-  /// Outstanding grants delay the allocator's bucket by at most one Ttl against
-  /// the bucket of a single process, so a request within the rate gets its
-  /// token.
+  /// An operation waits this long after the allocator first had no token for
+  /// it. Outstanding grants delay the allocator's bucket by at most one Ttl
+  /// against that of a single process. This time is longer than the longest
+  /// Ttl, so an operation within the rate gets its token.
   base::microseconds MaxWait{500'000};
   /// An allocator that did not answer for this long leaves a backlog of
-  /// requests that may be within the rate: they wait up to their deadlines.
+  /// operations that may be within the rate: they wait up to their deadlines.
   base::microseconds OutageTime{200'000};
   std::size_t MaxWaiters = 10'000;
 };
@@ -42,7 +42,7 @@
   double Count = 0;
 };
 
-/// A request that waits for a token.
+/// An operation that waits for a token.
 struct share_waiter {
   std::uint64_t Ticket = 0;
   base::instant Deadline;
@@ -62,22 +62,23 @@
   base::instant NextRequestAt;
   /// When the first request after the allocator's last answer was sent.
   std::optional<base::instant> UnansweredSince;
-  /// Until then waiting requests are refused at their deadlines only.
+  /// Until then MaxWait does not apply: waiting operations are refused at their
+  /// deadlines only.
   base::instant RefuseAtDeadlineUntil;
 };
 
-/// A request to an allocator that may still be answered.
+/// A token request to an allocator that may still be answered.
 struct share_request {
   std::uint64_t Number = 0;
   std::uint16_t Partition = 0;
   base::instant SentAt;
 };
 
-/// The outcome of a waiting request.
+/// The outcome of a waiting operation.
 struct share_verdict {
   std::uint64_t Ticket = 0;
   bool Admitted = false;
-  /// The allocator did not answer, so the refused request may be within the
+  /// The allocator did not answer, so the refused operation may be within the
   /// rate.
   bool Unanswered = false;
   base::microseconds RetryAfter{0};
@@ -97,7 +98,7 @@
   consumer_limits Limits;
   share_limits Shares;
   std::map<base::customer_name, share_account, std::less<>> Accounts;
-  /// Customers with demand, tokens or waiting requests; only these are
+  /// Customers with demand, tokens or waiting operations; only these are
   /// processed.
   std::set<base::customer_name, std::less<>> Active;
   std::vector<share_request> Requests;
@@ -106,13 +107,13 @@
   consumer_counters Counters;
 };
 
-/// Spends a token of \p Customer that is held here. Fails while other requests
-/// wait.
+/// Spends a token of \p Customer that is held here. Fails while other
+/// operations wait.
 bool takeToken(share_consumer &Consumer, std::string_view Customer,
                base::instant Now);
 
-/// Queues a request and returns its ticket. Its verdict comes from onGrant or
-/// dueVerdicts. Precondition: the customer has an account.
+/// Queues an operation and returns its ticket. Its verdict comes from onGrant
+/// or dueVerdicts. Precondition: the customer has an account.
 std::uint64_t waitForToken(share_consumer &Consumer, std::string_view Customer,
                            base::instant Now, base::instant Deadline);
 
@@ -131,7 +132,8 @@
 /// goes out. False when there is no such request or it is too old.
 bool dropRequest(share_consumer &Consumer, const wire::share_message &Answer);
 
-/// The verdicts on requests that need not wait any longer.
+/// Refuses the operations that have waited too long or would have to, and
+/// returns the verdicts on them.
 std::vector<share_verdict> dueVerdicts(share_consumer &Consumer,
                                        base::instant Now);
 
--- a/packages/control/include/redwinggw/control/share_lease.hpp
+++ b/packages/control/include/redwinggw/control/share_lease.hpp
@@ -23,14 +23,20 @@
 /// Store outage: the holder cannot renew, and must not stop. It goes on past
 /// its lease while it is in contact with a majority of the instances and none
 /// of them knows of an answer that the store gave to anybody after the end of
-/// the lease. An instance that wants to take over and had such an answer says
-/// so in its heartbeats, waits until a majority acknowledged one of these, then
-/// for the time after which contact counts as lost, and one more Ttl. The two
-/// majorities share an instance, whose later heartbeats report the answer. By
-/// the end of that time the holder has received such a heartbeat or lost
-/// contact with that instance, and stops. An instance that restarts in between
-/// counts for the holder only once it has read the store itself, which is a
-/// later answer. Fleets above DirectLimit do without this rule, since an
+/// the lease. An instance that wants to take over does this:
+///
+/// 1. After the end of the lease it waits for an answer of the store. From then
+///    on its heartbeats report that answer.
+/// 2. It waits until a majority has acknowledged one of these heartbeats.
+/// 3. It waits for ContactTimeout, after which contact counts as lost, and one
+///    more Ttl.
+///
+/// The majority of the holder and that of the taker share an instance, whose
+/// later heartbeats report the answer. By the end of ContactTimeout the holder
+/// has received such a heartbeat or lost contact with that instance, and stops;
+/// its grants expire in the Ttl after that. An instance that restarts in
+/// between counts for the holder only once it has read the store itself, which
+/// is a later answer. Fleets above DirectLimit do without this rule, since an
 /// acknowledgement from a majority takes too long there: the holder stops at
 /// the end of its lease.
 namespace redwinggw::control {
@@ -41,7 +47,7 @@
   base::microseconds RetryEvery{200'000};
   /// For clocks that run at different speeds and ages rounded to milliseconds.
   base::microseconds Margin{100'000};
-  /// The longest time for which a grant is valid.
+  /// The longest time for which a grant is valid, as share_limits::MaxTtl.
   base::microseconds Ttl{250'000};
   /// The lease is handed over once another instance has been the preferred
   /// allocator for this long.
@@ -119,7 +125,7 @@
   /// The levels to start from, after lease_change::Taken.
   std::vector<saved_level> InitialLevels;
   bool NeverHeld = false;
-  /// How often the next allocator was told of the release.
+  /// How many messages about the release the next allocator was sent.
   unsigned Announcements = 0;
   base::instance_name Preferred;
   /// The second choice reads the row too, so that it can take over sooner.
--- a/packages/control/include/redwinggw/control/share_node.hpp
+++ b/packages/control/include/redwinggw/control/share_node.hpp
@@ -13,8 +13,8 @@
 #include <string_view>
 #include <vector>
 
-/// All decisions on shares in one instance: consumer, allocator and leases
-/// together. Without I/O, which is in share_service.hpp.
+/// All decisions on shares in one instance ("node"): consumer, allocator and
+/// leases together. Decisions without I/O, which is in share_service.hpp.
 namespace redwinggw::control {
 
 struct share_settings {
@@ -73,9 +73,9 @@
 void applyPlans(share_node &Node, const std::vector<customer> &Customers,
                 base::instant Now);
 
-/// Steps the leases, requests tokens ahead, and ends requests that need not
-/// wait any longer. Call every few milliseconds while requests wait, else every
-/// 50 ms.
+/// Steps the leases, requests tokens ahead, and refuses operations as
+/// dueVerdicts does. Call every few milliseconds while operations wait, else
+/// every 50 ms.
 share_actions onShareTick(share_node &Node, const membership &Membership,
                           base::instant Now);
 
--- a/packages/control/include/redwinggw/control/share_service.hpp
+++ b/packages/control/include/redwinggw/control/share_service.hpp
@@ -15,6 +15,11 @@
 
 /// Enforces the rate and burst of each customer over the whole fleet: network,
 /// store and timers around the decisions of share_node.hpp.
+///
+/// One of two ways to enforce rates. This one is used with the setting
+/// platform.kind = own; a share is a grant of tokens that expire, by the holder
+/// of a lease. With platform.kind = native, demand_shares.hpp is used, where a
+/// share is a fraction of the rate.
 namespace redwinggw::control {
 
 /// How a customer's rate is divided among the instances.
--- a/packages/control/src/centralized_buckets.cpp
+++ b/packages/control/src/centralized_buckets.cpp
@@ -11,8 +11,9 @@
 using base::instant;
 using base::microseconds;
 
-/// The time that may lie between the others noticing that an owner is silent
-/// and the owner noticing that it is not in contact with a majority.
+/// A new owner starts this long after it sees that the former one is silent.
+/// The former one may notice later than others see its silence that it is not
+/// in contact with a majority; it has stopped by the end of this time.
 constexpr base::milliseconds OwnerChangeDelay{600};
 
 /// Instances that start together are in contact with a majority within this
--- a/packages/control/src/config_changing.cpp
+++ b/packages/control/src/config_changing.cpp
@@ -7,6 +7,8 @@
 
 #include <algorithm>
 
+// Submits changes of the configuration: the reads and commits that the
+// decisions of config_submission.hpp ask for.
 namespace redwinggw::control {
 namespace {
 
--- a/packages/control/src/config_state.hpp
+++ b/packages/control/src/config_state.hpp
@@ -9,7 +9,8 @@
 #include <random>
 #include <set>
 
-/// Implementation of configuration_service.
+/// The implementation class of configuration_service. The struct config_state
+/// is another thing: what was read from the store, see config_submission.hpp.
 namespace redwinggw::control {
 
 struct configuration_service::state : std::enable_shared_from_this<state> {
--- a/packages/control/src/demand_shares.cpp
+++ b/packages/control/src/demand_shares.cpp
@@ -83,6 +83,7 @@
   return Demand;
 }
 
+/// Drops the recorded shares of sources that are not silent any more.
 void forgetFresh(demand_account &Account,
                  const std::vector<demand_source> &Sources) {
   std::erase_if(Account.SilentShares, [&](const auto &Item) {
@@ -169,9 +170,9 @@
   return (Age < Limits.FirstHeartbeats ? 1 : Limits.IdleShare) / Instances;
 }
 
-/// Admits an operation after \p Wait. A bucket that holds hardly more than one
-/// token would have none while an operation is unsettled, so its operations are
-/// not counted for settlement.
+/// Admits an operation after \p Wait. A bucket does not fill up in the place of
+/// unsettled operations. One that holds hardly more than one token would stay
+/// empty until settlement, so its operations are not settled.
 demand_verdict take(demand_account &Account, base::microseconds Wait) {
   --Account.Tokens;
   if (Account.Divisible)
@@ -180,8 +181,7 @@
 }
 
 /// Whether an operation may be admitted without a token: the share is too small
-/// to be divided in time, and the demand of the whole fleet is clearly below
-/// the rate.
+/// to be enforced, and the demand of the whole fleet is clearly below the rate.
 bool hasLowDemand(const demand_shares &Shares, const demand_account &Account) {
   const double NewDemand = Account.Demand - Account.Announced;
   return !Account.Divisible &&
@@ -202,7 +202,8 @@
   const demand_limits &Limits = Shares.Limits;
   const double Fraction =
       std::min(Limits.ReservePerPriority * Priority, Limits.MaxReserved);
-  // A bucket too small to divide serves operations in order of arrival.
+  // A bucket that holds hardly more than one token serves operations in order
+  // of arrival.
   const double Room = std::max(0.0, bucketDepth(Shares, Account) - 1);
   return Fraction * Room;
 }
--- a/packages/control/src/sheet_cells.hpp
+++ b/packages/control/src/sheet_cells.hpp
@@ -12,7 +12,7 @@
 enum class sheet_column {
   Kind,
   Name,
-  Of,
+  Of, ///< a key's customer, an endpoint's or service's group, a read's service
   Zone,
   Address,
   Rate,
