--- a/packages/control/include/redwinggw/control/demand_shares.hpp
+++ b/packages/control/include/redwinggw/control/demand_shares.hpp
@@ -161,13 +161,13 @@
   /// The share is enforced. False: it is too small for that (MinDepth), and the
   /// fleet's demand decides instead (LowDemandFraction). Always true while
   /// there is no recent demand of the others to decide by.
-  bool Divisible = true;
+  bool EnforcesShare = true;
 };
 
 /// An instance that may own buckets.
 struct owner_candidate {
   /// rendezvousHash of its name.
-  std::uint32_t NameHash = 0;
+  std::uint32_t RendezvousHash = 0;
   /// wire::hashOf its name, by which it is found in membership.
   std::uint32_t Instance = 0;
 
--- a/packages/control/include/redwinggw/control/membership.hpp
+++ b/packages/control/include/redwinggw/control/membership.hpp
@@ -283,7 +283,6 @@
 
 /// True when more than half of the instances, this one included, received a
 /// heartbeat that this instance sent at \p Since or later.
-bool majorityReceivedSince(const membership &Membership,
-                           base::instant ListedSince);
+bool majorityReceivedSince(const membership &Membership, base::instant Since);
 
 } // namespace redwinggw::control
--- a/packages/control/include/redwinggw/control/share_consumer.hpp
+++ b/packages/control/include/redwinggw/control/share_consumer.hpp
@@ -64,7 +64,7 @@
   std::optional<base::instant> UnansweredSince;
   /// Until then MaxWait does not apply: waiting operations are refused at their
   /// deadlines only.
-  base::instant RefuseAtDeadlineUntil;
+  base::instant MaxWaitSuspendedUntil;
 };
 
 /// A token request to an allocator that may still be answered.
--- a/packages/control/include/redwinggw/control/share_lease.hpp
+++ b/packages/control/include/redwinggw/control/share_lease.hpp
@@ -109,7 +109,7 @@
   base::instant ObservedAt;
   /// Since when the own heartbeats say that the store answered this instance
   /// after the end of the holder's lease.
-  std::optional<base::instant> AnnouncedSince;
+  std::optional<base::instant> StoreAnswerAnnouncedAt;
   /// From when on this instance may take the lease.
   std::optional<base::instant> TakeOverAt;
   bool Holding = false;
@@ -126,7 +126,7 @@
   std::vector<saved_level> InitialLevels;
   bool NeverHeld = false;
   /// How many messages about the release the next allocator was sent.
-  unsigned Announcements = 0;
+  unsigned ReleaseMessagesSent = 0;
   base::instance_name Preferred;
   /// The second choice reads the row too, so that it can take over sooner.
   base::instance_name Standby;
--- a/packages/control/src/centralized_buckets.cpp
+++ b/packages/control/src/centralized_buckets.cpp
@@ -48,7 +48,7 @@
   const std::uint32_t CustomerHash = rendezvousHash(Customer);
   const auto Best = std::ranges::max_element(
       Candidates, {}, [&](const owner_candidate &Candidate) {
-        return rendezvousWeight(CustomerHash, Candidate.NameHash);
+        return rendezvousWeight(CustomerHash, Candidate.RendezvousHash);
       });
   return Best == Candidates.end() ? 0 : Best->Instance;
 }
@@ -110,7 +110,7 @@
   const bool Begins = OwnedHere && !Account.OwnedHere;
   Account.Centralized = true;
   Account.OwnedHere = OwnedHere;
-  Account.Divisible = true;
+  Account.EnforcesShare = true;
   Account.Share = OwnedHere ? Account.FreshShare : 0;
   if (Begins || !OwnedHere)
     Account.Tokens = Begins ? Account.InitialTokens : 0;
--- a/packages/control/src/demand_shares.cpp
+++ b/packages/control/src/demand_shares.cpp
@@ -84,8 +84,8 @@
 }
 
 /// Drops the recorded shares of sources that are not silent any more.
-void forgetFresh(demand_account &Account,
-                 const std::vector<demand_source> &Sources) {
+void dropEndedSilences(demand_account &Account,
+                       const std::vector<demand_source> &Sources) {
   std::erase_if(Account.SilentShares, [&](const auto &Item) {
     return std::ranges::none_of(Sources, [&](const demand_source &Source) {
       const bool Silent = Source.State == source_state::Silent ||
@@ -122,7 +122,7 @@
   Others.SilentShare = Account.Fleet.SilentShare;
   Others.LongSilentShare = Account.Fleet.LongSilentShare;
   Account.Fleet.Rate += Account.Announced;
-  forgetFresh(Account, Sources);
+  dropEndedSilences(Account, Sources);
   return Others;
 }
 
@@ -175,16 +175,16 @@
 /// empty until settlement, so its operations are not settled.
 demand_verdict take(demand_account &Account, base::microseconds Wait) {
   --Account.Tokens;
-  if (Account.Divisible)
+  if (Account.EnforcesShare)
     ++Account.Unsettled;
-  return {true, Account.Divisible, Wait};
+  return {true, Account.EnforcesShare, Wait};
 }
 
 /// Whether an operation may be admitted without a token: the share is too small
 /// to be enforced, and the demand of the whole fleet is clearly below the rate.
 bool hasLowDemand(const demand_shares &Shares, const demand_account &Account) {
   const double NewDemand = Account.Demand - Account.Announced;
-  return !Account.Divisible &&
+  return !Account.EnforcesShare &&
          Account.FleetDemand + NewDemand <
              Shares.Limits.LowDemandFraction * Account.Rate;
 }
@@ -279,8 +279,9 @@
     if (Isolated)
       Account.Share /= 2;
     Account.Share = std::min(Account.Share, Max);
-    Account.Divisible = !HasMajority || Isolated || Max < 1 ||
-                        bucketDepth(Shares, Account) >= Shares.Limits.MinDepth;
+    Account.EnforcesShare =
+        !HasMajority || Isolated || Max < 1 ||
+        bucketDepth(Shares, Account) >= Shares.Limits.MinDepth;
     // An owner's tokens are limited later, once it is known whether it still
     // owns the bucket.
     if (!Account.Centralized)
--- a/packages/control/src/membership_reports.cpp
+++ b/packages/control/src/membership_reports.cpp
@@ -276,10 +276,10 @@
       {Store.OwnContactAt, Store.PeerContactAt, Store.TwoHopContactAt});
 }
 
-bool majorityReceivedSince(const membership &Membership, instant ListedSince) {
+bool majorityReceivedSince(const membership &Membership, instant Since) {
   const auto Receivers =
       std::ranges::count_if(Membership.Members, [&](const member &Member) {
-        return Member.ReportAt && *Member.ReportAt >= ListedSince;
+        return Member.ReportAt && *Member.ReportAt >= Since;
       });
   return Membership.ListKnown &&
          isMajority(Membership, static_cast<std::size_t>(Receivers) + 1);
--- a/packages/control/src/share_consumer.cpp
+++ b/packages/control/src/share_consumer.cpp
@@ -112,7 +112,7 @@
   const auto OutageTime = Now - Account.UnansweredSince.value_or(Now);
   Account.UnansweredSince.reset();
   if (OutageTime >= Consumer.Limits.OutageTime)
-    Account.RefuseAtDeadlineUntil = Now + 2 * OutageTime;
+    Account.MaxWaitSuspendedUntil = Now + 2 * OutageTime;
 }
 
 void noteShortage(share_account &Account, microseconds Wait, instant Now) {
@@ -136,7 +136,7 @@
     return true;
   if (Index >= Consumer.Limits.MaxWaiters)
     return true;
-  if (!Waiter.RefusedAt || Now < Account.RefuseAtDeadlineUntil)
+  if (!Waiter.RefusedAt || Now < Account.MaxWaitSuspendedUntil)
     return false;
   return exceedsMaxWait(Consumer, Account, Index) ||
          Now - *Waiter.RefusedAt >= Consumer.Limits.MaxWait;
--- a/packages/control/src/share_lease.cpp
+++ b/packages/control/src/share_lease.cpp
@@ -57,7 +57,7 @@
   Lease.Row = std::move(Row);
   Lease.ObservedAt = Now;
   Lease.TakeOverAt.reset();
-  Lease.AnnouncedSince.reset();
+  Lease.StoreAnswerAnnouncedAt.reset();
 }
 
 /// Whether the holder has certainly stopped; see the top of the header.
@@ -72,11 +72,11 @@
   const bool MayBeExtended =
       Membership.Members.size() <= 2 * Membership.Limits.DirectLimit;
   const auto Contact = Membership.Store.OwnContactAt;
-  if (!Lease.AnnouncedSince && Contact && *Contact >= Ended)
-    Lease.AnnouncedSince = Now;
+  if (!Lease.StoreAnswerAnnouncedAt && Contact && *Contact >= Ended)
+    Lease.StoreAnswerAnnouncedAt = Now;
   const bool Announced =
-      Lease.AnnouncedSince &&
-      majorityReceivedSince(Membership, *Lease.AnnouncedSince);
+      Lease.StoreAnswerAnnouncedAt &&
+      majorityReceivedSince(Membership, *Lease.StoreAnswerAnnouncedAt);
   if (!Lease.TakeOverAt && (!MayBeExtended || Announced))
     Lease.TakeOverAt = Now +
                        (MayBeExtended ? Membership.Limits.ContactTimeout
@@ -140,7 +140,7 @@
 void release(share_lease &Lease, std::vector<saved_level> Levels) {
   Lease.Holding = false;
   Lease.Releasing = std::move(Levels);
-  Lease.Announcements = 0;
+  Lease.ReleaseMessagesSent = 0;
 }
 
 std::optional<lease_row> dueCommit(share_lease &Lease,
--- a/packages/control/src/share_node.cpp
+++ b/packages/control/src/share_node.cpp
@@ -251,9 +251,9 @@
     const bool OwnRelease =
         Lease.Known && Lease.Row.Released && Lease.Row.Holder == Node.Self;
     if (!OwnRelease || Lease.Preferred == Node.Self ||
-        Lease.Preferred.empty() || Lease.Announcements >= Times)
+        Lease.Preferred.empty() || Lease.ReleaseMessagesSent >= Times)
       continue;
-    ++Lease.Announcements;
+    ++Lease.ReleaseMessagesSent;
     share_send &Send = Actions.Sends.emplace_back();
     Send.To = Lease.Preferred;
     Send.Message.Kind = wire::share_kind::Released;
