--- a/packages/control/src/centralized_buckets.cpp
+++ b/packages/control/src/centralized_buckets.cpp
@@ -11,8 +11,9 @@
 using base::instant;
 using base::microseconds;
 
-/// The time that may lie between the others noticing that an owner is silent
-/// and the owner noticing that it is not in contact with a majority.
+/// A new owner starts this long after it sees that the former one is silent.
+/// The former one may notice later than others see its silence that it is not
+/// in contact with a majority; it has stopped by the end of this time.
 constexpr base::milliseconds OwnerChangeDelay{600};
 
 /// Instances that start together are in contact with a majority within this
@@ -47,7 +48,7 @@
   const std::uint32_t CustomerHash = rendezvousHash(Customer);
   const auto Best = std::ranges::max_element(
       Candidates, {}, [&](const owner_candidate &Candidate) {
-        return rendezvousWeight(CustomerHash, Candidate.NameHash);
+        return rendezvousWeight(CustomerHash, Candidate.RendezvousHash);
       });
   return Best == Candidates.end() ? 0 : Best->Instance;
 }
@@ -109,7 +110,7 @@
   const bool Begins = OwnedHere && !Account.OwnedHere;
   Account.Centralized = true;
   Account.OwnedHere = OwnedHere;
-  Account.Divisible = true;
+  Account.EnforcesShare = true;
   Account.Share = OwnedHere ? Account.FreshShare : 0;
   if (Begins || !OwnedHere)
     Account.Tokens = Begins ? Account.InitialTokens : 0;
--- a/packages/control/src/demand_shares.cpp
+++ b/packages/control/src/demand_shares.cpp
@@ -83,8 +83,9 @@
   return Demand;
 }
 
-void forgetFresh(demand_account &Account,
-                 const std::vector<demand_source> &Sources) {
+/// Drops the recorded shares of sources that are not silent any more.
+void dropEndedSilences(demand_account &Account,
+                       const std::vector<demand_source> &Sources) {
   std::erase_if(Account.SilentShares, [&](const auto &Item) {
     return std::ranges::none_of(Sources, [&](const demand_source &Source) {
       const bool Silent = Source.State == source_state::Silent ||
@@ -121,7 +122,7 @@
   Others.SilentShare = Account.Fleet.SilentShare;
   Others.LongSilentShare = Account.Fleet.LongSilentShare;
   Account.Fleet.Rate += Account.Announced;
-  forgetFresh(Account, Sources);
+  dropEndedSilences(Account, Sources);
   return Others;
 }
 
@@ -169,22 +170,21 @@
   return (Age < Limits.FirstHeartbeats ? 1 : Limits.IdleShare) / Instances;
 }
 
-/// Admits an operation after \p Wait. A bucket that holds hardly more than one
-/// token would have none while an operation is unsettled, so its operations are
-/// not counted for settlement.
+/// Admits an operation after \p Wait. A bucket does not fill up in the place of
+/// unsettled operations. One that holds hardly more than one token would stay
+/// empty until settlement, so its operations are not settled.
 demand_verdict take(demand_account &Account, base::microseconds Wait) {
   --Account.Tokens;
-  if (Account.Divisible)
+  if (Account.EnforcesShare)
     ++Account.Unsettled;
-  return {true, Account.Divisible, Wait};
+  return {true, Account.EnforcesShare, Wait};
 }
 
 /// Whether an operation may be admitted without a token: the share is too small
-/// to be divided in time, and the demand of the whole fleet is clearly below
-/// the rate.
+/// to be enforced, and the demand of the whole fleet is clearly below the rate.
 bool hasLowDemand(const demand_shares &Shares, const demand_account &Account) {
   const double NewDemand = Account.Demand - Account.Announced;
-  return !Account.Divisible &&
+  return !Account.EnforcesShare &&
          Account.FleetDemand + NewDemand <
              Shares.Limits.LowDemandFraction * Account.Rate;
 }
@@ -202,7 +202,8 @@
   const demand_limits &Limits = Shares.Limits;
   const double Fraction =
       std::min(Limits.ReservePerPriority * Priority, Limits.MaxReserved);
-  // A bucket too small to divide serves operations in order of arrival.
+  // A bucket that holds hardly more than one token serves operations in order
+  // of arrival.
   const double Room = std::max(0.0, bucketDepth(Shares, Account) - 1);
   return Fraction * Room;
 }
@@ -278,8 +279,9 @@
     if (Isolated)
       Account.Share /= 2;
     Account.Share = std::min(Account.Share, Max);
-    Account.Divisible = !HasMajority || Isolated || Max < 1 ||
-                        bucketDepth(Shares, Account) >= Shares.Limits.MinDepth;
+    Account.EnforcesShare =
+        !HasMajority || Isolated || Max < 1 ||
+        bucketDepth(Shares, Account) >= Shares.Limits.MinDepth;
     // An owner's tokens are limited later, once it is known whether it still
     // owns the bucket.
     if (!Account.Centralized)
