--- a/packages/redwinggw/src/platform_configuration.cpp
+++ b/packages/redwinggw/src/platform_configuration.cpp
@@ -92,7 +92,7 @@
 base::task<bool> readConfiguration(platform_instance_state &State) {
   const base::instant Sent = base::now();
   const auto Rows = co_await platform::readTable(
-      State.StoreReader, platform::OperatorTable, ConfigurationIdleTimeout);
+      State.StoreTables, platform::OperatorTable, ConfigurationIdleTimeout);
   ++State.Store.Reads;
   noteStoreResult(State, Rows.has_value(), Rows ? "" : describe(Rows.error()));
   if (!Rows) {
--- a/packages/redwinggw/src/platform_endpoints.cpp
+++ b/packages/redwinggw/src/platform_endpoints.cpp
@@ -116,7 +116,7 @@
     }
     const base::instant Sent = base::now();
     const auto Rows = co_await platform::readTable(
-        State->StoreReader, platform::EndpointTable, ReadIdleTimeout);
+        State->StoreTables, platform::EndpointTable, ReadIdleTimeout);
     ++State->Store.Reads;
     noteStoreResult(*State, Rows.has_value(),
                     Rows ? "" : describe(Rows.error()));
--- a/packages/redwinggw/src/platform_fleet.cpp
+++ b/packages/redwinggw/src/platform_fleet.cpp
@@ -225,7 +225,7 @@
 base::task<std::optional<platform::table_rows>>
 readRows(platform_instance_state &State) {
   State.FleetReadRequested = false;
-  auto Rows = co_await platform::readTable(State.StoreReader,
+  auto Rows = co_await platform::readTable(State.StoreTables,
                                            platform::OwnTable, ReadIdleTimeout);
   ++State.Store.Reads;
   noteStoreResult(State, Rows.has_value(), Rows ? "" : describe(Rows.error()));
--- a/packages/redwinggw/src/platform_handover.cpp
+++ b/packages/redwinggw/src/platform_handover.cpp
@@ -235,12 +235,12 @@
   const instant Latest = base::now() + State.Handover.CatchUpTimeout;
   while (true) {
     const auto Candidates = co_await askCandidates(State, Claim);
-    const bool Patient = base::now() < Latest;
-    if (!Patient)
+    const bool MayStillWait = base::now() < Latest;
+    if (!MayStillWait)
       Needed.reset();
     if (const auto *Target = chooseTarget(Candidates, Needed))
       co_return Target->Name;
-    if (!Patient)
+    if (!MayStillWait)
       co_return base::endpoint_name();
     co_await pauseWithJitter(State, StepPause);
   }
@@ -324,8 +324,9 @@
                              const claimed_move &Move) {
   const primary_claim &Claim = Move.Claim;
   const instant Deadline = base::now() + MoveTimeout;
-  const bool Fenced = co_await awaitAcknowledgements(State, Claim, Deadline);
-  if (!Fenced) {
+  const bool NoInstanceUsesOldPrimary =
+      co_await awaitAcknowledgements(State, Claim, Deadline);
+  if (!NoInstanceUsesOldPrimary) {
     // The move is abandoned: it was not acknowledged in time, or a later claim
     // is known.
     logMove(Claim.Service,
@@ -348,10 +349,10 @@
   }
   logMove(Claim.Service, "promoting " + Target + ".");
   const bool Promoted = co_await promote(State, Claim, Target, Deadline);
-  bool Leads = false;
+  bool BecamePrimary = false;
   if (Promoted)
-    Leads = co_await awaitPromotion(State, Claim, Target, Deadline);
-  if (!Leads) {
+    BecamePrimary = co_await awaitPromotion(State, Claim, Target, Deadline);
+  if (!BecamePrimary) {
     logMove(Claim.Service, Target + " did not become primary.");
     co_return false;
   }
--- a/packages/redwinggw/src/platform_heartbeats.cpp
+++ b/packages/redwinggw/src/platform_heartbeats.cpp
@@ -117,7 +117,7 @@
   Report.Positions = positionReports(State);
   // Shares are recomputed with each heartbeat, since heartbeats carry the
   // demands.
-  const bool InContact = isInContactWithFleet(State);
+  const bool InContact = mayTrustClaims(State);
   divideRates(State.Shares, State.Peers->view(), InContact, Now);
   centralizeBuckets(State.Shares, State.Peers->view(), InContact, Now);
   Report.CentralizesBuckets = hasCentralizedBuckets(State.Shares, Now);
--- a/packages/redwinggw/src/platform_instance.cpp
+++ b/packages/redwinggw/src/platform_instance.cpp
@@ -146,7 +146,7 @@
     : Context(Context), Settings(std::move(Given)),
       Store{Context.get_executor(), Settings.Platform, Settings.Name,
             Settings.PlatformTimeout},
-      StoreReader(Context.get_executor(), Settings.Platform),
+      StoreTables(Context.get_executor(), Settings.Platform),
       Endpoints(Context.get_executor(), Settings.Zone, {}), Core(Endpoints),
       Callers(Context.get_executor(), Core),
       Readiness(Context.get_executor(), {},
@@ -209,8 +209,8 @@
 /// Records since when the instance may not use primaries, and closes idle
 /// sessions once it is cut off: it can serve little then, and the balancer
 /// sends the callers to instances that are ready.
-void noteFleetContact(platform_instance_state &State) {
-  if (isInContactWithFleet(State)) {
+void closeSessionsIfCutOff(platform_instance_state &State) {
+  if (mayTrustClaims(State)) {
     State.OutOfContactSince.reset();
     return;
   }
@@ -238,7 +238,7 @@
 base::task<void> runPlatformHousekeeping(platform_instance_ptr State) {
   while (true) {
     base::flushLog();
-    noteFleetContact(*State);
+    closeSessionsIfCutOff(*State);
     listenForCallers(*State);
     divideConnections(*State);
     State->Callers.endAbandoned();
--- a/packages/redwinggw/src/platform_instance_state.hpp
+++ b/packages/redwinggw/src/platform_instance_state.hpp
@@ -41,7 +41,7 @@
   storage::store Store;
   /// The client that reads whole tables of the platform's store; not the
   /// instance that is called the store reader.
-  platform::store_client StoreReader;
+  platform::store_client StoreTables;
   session::route_table_ptr Routes;
   /// The text from which Routes was parsed, for instances that cannot read the
   /// store.
@@ -197,7 +197,7 @@
 /// Whether the claims known here may be trusted: this instance would have
 /// learned of a promotion by now, from the store or from a majority of the
 /// instances. True unless its config freshness is Isolated.
-bool isInContactWithFleet(platform_instance_state &State);
+bool mayTrustClaims(platform_instance_state &State);
 /// Records whether a request to the store was answered, and logs a change.
 void noteStoreResult(platform_instance_state &State, bool Answered,
                      std::string_view Reason);
--- a/packages/redwinggw/src/platform_primaries.cpp
+++ b/packages/redwinggw/src/platform_primaries.cpp
@@ -15,7 +15,7 @@
 
 } // namespace
 
-bool isInContactWithFleet(platform_instance_state &State) {
+bool mayTrustClaims(platform_instance_state &State) {
   if (!State.Peers)
     return false;
   const control::config_freshness Now =
@@ -58,7 +58,7 @@
   if (Known != nullptr && Known->Claim.Moving)
     return std::nullopt;
   base::endpoint_name Primary = primaryOf(State, Service);
-  if (Primary.empty() || !isInContactWithFleet(State))
+  if (Primary.empty() || !mayTrustClaims(State))
     return std::nullopt;
   return session::primary_lease{std::string(Service), std::move(Primary),
                                 Known == nullptr ? 0 : Known->Claim.Epoch};
--- a/packages/session/include/redwinggw/session/leased_link.hpp
+++ b/packages/session/include/redwinggw/session/checked_out_link.hpp
@@ -8,18 +8,18 @@
 
 /// A connection checked out of its pool. One that is not released explicitly
 /// is closed, since its state is not known.
-struct leased_link {
-  leased_link() = default;
-  leased_link(pool_ptr Pool, link_handle Link)
+struct checked_out_link {
+  checked_out_link() = default;
+  checked_out_link(pool_ptr Pool, link_handle Link)
       : Pool(std::move(Pool)), Link(std::move(Link)) {}
-  leased_link(leased_link &&) noexcept = default;
-  leased_link &operator=(leased_link &&Other) noexcept {
+  checked_out_link(checked_out_link &&) noexcept = default;
+  checked_out_link &operator=(checked_out_link &&Other) noexcept {
     std::swap(Pool, Other.Pool);
     std::swap(Link, Other.Link);
     std::swap(Grant, Other.Grant);
     return *this;
   }
-  ~leased_link() {
+  ~checked_out_link() {
     if (Link)
       Pool->discard(std::move(Link));
   }
--- a/packages/session/include/redwinggw/session/endpoint_pool.hpp
+++ b/packages/session/include/redwinggw/session/endpoint_pool.hpp
@@ -18,10 +18,10 @@
 /// The connections of one instance to one endpoint.
 ///
 /// An endpoint_link is one connection. A pooled_link adds the session state
-/// that is set up on it, and a leased_link is a pooled_link that is checked out
-/// of the pool. A forwarding_link takes the place of the connection when the
-/// endpoint's owner runs the statements; the owner keeps the connection of an
-/// open transaction in a pinned_link.
+/// that is set up on it, and a checked_out_link is a pooled_link that is
+/// checked out of the pool. A forwarding_link takes the place of the connection
+/// when the endpoint's owner runs the statements; the owner keeps the
+/// connection of an open transaction in a pinned_link.
 namespace redwinggw::session {
 
 /// A connection with the session state that is set up on it.
--- a/packages/session/include/redwinggw/session/forwarding_server.hpp
+++ b/packages/session/include/redwinggw/session/forwarding_server.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
+#include "redwinggw/session/checked_out_link.hpp"
 #include "redwinggw/session/configuration_transfer.hpp"
-#include "redwinggw/session/leased_link.hpp"
 #include "redwinggw/session/session_core.hpp"
 #include "redwinggw/session/statement_forwarding.hpp"
 
@@ -18,7 +18,7 @@
 /// The connection to the endpoint that is held for an open transaction of
 /// another instance; empty while that has none.
 struct pinned_link {
-  leased_link Link;
+  checked_out_link Link;
 };
 
 /// Runs a forwarded statement, once at most; the caller's instance decides
--- a/packages/session/include/redwinggw/session/handover.hpp
+++ b/packages/session/include/redwinggw/session/handover.hpp
@@ -34,7 +34,7 @@
   /// An endpoint is suspected when it has been failing for this long without a
   /// success: longer than a slow statement and setting up a connection again
   /// take.
-  base::milliseconds SilentFor{450};
+  base::milliseconds FailingFor{450};
   unsigned FailuresNeeded = 2;
   /// An entry may be missing for a moment while the endpoint registers again.
   base::milliseconds MissingFor{1500};
--- a/packages/session/include/redwinggw/session/statement.hpp
+++ b/packages/session/include/redwinggw/session/statement.hpp
@@ -43,8 +43,8 @@
 
 /// Error codes for callers. Those up to TooMany guarantee that the attempt has
 /// had no effect, so that the caller may retry it. InDoubt: the outcome is not
-/// known. Unknown: a name in the statement is not known; the statement has had
-/// no effect either, but the caller gains nothing by retrying it.
+/// known. UnknownName: a name in the statement is not known; the statement has
+/// had no effect either, but the caller gains nothing by retrying it.
 enum class answer_code {
   Busy,
   Aborted,
@@ -55,7 +55,7 @@
   InDoubt,
   Timeout,
   Failed,
-  Unknown,
+  UnknownName,
   Malformed,
   Denied,
   NoDatabase,
--- a/packages/session/include/redwinggw/session/statement_forwarding.hpp
+++ b/packages/session/include/redwinggw/session/statement_forwarding.hpp
@@ -45,7 +45,7 @@
   base::milliseconds TimeLeft{0};
   /// The part of TimeLeft in which the owner has to get a slot and a
   /// connection.
-  base::milliseconds Patience{0};
+  base::milliseconds SlotWait{0};
 };
 
 struct forwarding_reply {
--- a/packages/session/src/core_parts.hpp
+++ b/packages/session/src/core_parts.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "redwinggw/session/leased_link.hpp"
+#include "redwinggw/session/checked_out_link.hpp"
 
 #include "redwinggw/session/session_core.hpp"
 
@@ -44,7 +44,7 @@
 /// The connection on which a statement runs, and the conditions under which its
 /// endpoint may serve it.
 struct placement {
-  leased_link Link;
+  checked_out_link Link;
   /// Set when the endpoint is used as the primary.
   std::optional<primary_lease> PrimaryLease;
   /// The log position that the endpoint must have.
--- a/packages/session/src/forwarding_client.cpp
+++ b/packages/session/src/forwarding_client.cpp
@@ -169,7 +169,7 @@
   Request.Statement = Statement;
   Request.Priority = Priority;
   Request.TimeLeft = spanTo(Deadline - AnswerMargin);
-  Request.Patience = spanTo(WaitUntil);
+  Request.SlotWait = spanTo(WaitUntil);
   return encodeRequest(Client->Secret, Request);
 }
 
--- a/packages/session/src/forwarding_codec.cpp
+++ b/packages/session/src/forwarding_codec.cpp
@@ -173,7 +173,7 @@
   transferStatement(Ar, Value.Statement);
   Ar.number(Value.Priority);
   Ar.time(Value.TimeLeft);
-  Ar.time(Value.Patience);
+  Ar.time(Value.SlotWait);
 }
 
 template <typename Side, typename Reply>
--- a/packages/session/src/handover.cpp
+++ b/packages/session/src/handover.cpp
@@ -33,7 +33,7 @@
 bool isSuspect(const endpoint_health &Health, const handover_limits &Limits,
                base::instant Now) {
   return Health.FailingSince && Health.Failures >= Limits.FailuresNeeded &&
-         Now - *Health.FailingSince >= Limits.SilentFor;
+         Now - *Health.FailingSince >= Limits.FailingFor;
 }
 
 move_cause causeToMove(const handover_view &View, const handover_limits &Limits,
--- a/packages/session/src/placement.cpp
+++ b/packages/session/src/placement.cpp
@@ -94,7 +94,7 @@
   placement Placement;
   if (auto Forwarding =
           forwardingLinkTo(Core, Session, Request, Pool->entry())) {
-    Placement.Link = leased_link(
+    Placement.Link = checked_out_link(
         Pool, Pool->wrapForwarding(std::move(Forwarding), Session.Customer));
     co_return Placement;
   }
@@ -116,7 +116,7 @@
       Core.Ports.NoteEndpointProblem(Name);
     co_return std::nullopt;
   }
-  Placement.Link = leased_link(Pool, std::move(Acquired.Link));
+  Placement.Link = checked_out_link(Pool, std::move(Acquired.Link));
   Placement.Link.Grant = std::move(Grant);
   co_return Placement;
 }
--- a/packages/session/src/serve_forwarded.cpp
+++ b/packages/session/src/serve_forwarded.cpp
@@ -41,7 +41,7 @@
       co_return forwarding_failure::None;
     }
   }
-  Pinned.Link = leased_link();
+  Pinned.Link = checked_out_link();
   co_return forwarding_failure::NoConnection;
 }
 
@@ -59,7 +59,7 @@
     co_return forwarding_failure::Refused;
   const session_values Values =
       Request.Statement.Values.value_or(session_values());
-  const instant WaitUntil = Arrived + Request.Patience;
+  const instant WaitUntil = Arrived + Request.SlotWait;
   slot_grant Grant = co_await acquireSlot(Pool, levelOf(Request.Priority),
                                           Request.Customer, WaitUntil);
   if (!Grant)
@@ -68,7 +68,7 @@
       Request.Customer, Values, WaitUntil, Arrived + Request.TimeLeft);
   if (!Acquired.Link)
     co_return failureOf(Acquired.Failure);
-  Pinned.Link = leased_link(Pool, std::move(Acquired.Link));
+  Pinned.Link = checked_out_link(Pool, std::move(Acquired.Link));
   Pinned.Link.Grant = std::move(Grant);
   co_return forwarding_failure::None;
 }
@@ -89,7 +89,7 @@
     Pool.noteFailure(base::now());
     Pool.closeIdle();
   }
-  Pinned.Link = leased_link();
+  Pinned.Link = checked_out_link();
 }
 
 std::uint16_t loadOf(session_core &Core, const base::endpoint_name &Name) {
--- a/packages/session/src/session_core.cpp
+++ b/packages/session/src/session_core.cpp
@@ -67,7 +67,7 @@
   if (Request.Statement.Kind == statement_kind::Execute) {
     const auto Found = Session.Prepared.find(Request.Statement.Name);
     if (Found == Session.Prepared.end()) {
-      answer Answer = makeError(answer_code::Unknown,
+      answer Answer = makeError(answer_code::UnknownName,
                                 "no statement is prepared under this name");
       if (Session.Transaction)
         Session.Transaction->Failed = true;
@@ -124,7 +124,7 @@
 answer serveDeallocate(caller_session &Session, const statement &Statement) {
   if (Session.Prepared.erase(Statement.Name) != 0)
     return done(Session);
-  return makeError(answer_code::Unknown,
+  return makeError(answer_code::UnknownName,
                    "no statement is prepared under this name");
 }
 
--- a/packages/session/src/single_statement.cpp
+++ b/packages/session/src/single_statement.cpp
@@ -17,7 +17,7 @@
   case answer_code::ReadOnly:
   case answer_code::Misrouted:
   case answer_code::TooMany:
-  case answer_code::Unknown:
+  case answer_code::UnknownName:
     return next_step::TryAgain;
   case answer_code::Failed:
   case answer_code::Timeout:
--- a/packages/session/src/statement.cpp
+++ b/packages/session/src/statement.cpp
@@ -13,7 +13,7 @@
     {answer_code::InDoubt, "outcome_unknown"},
     {answer_code::Timeout, "timeout"},
     {answer_code::Failed, "failed"},
-    {answer_code::Unknown, "unknown_name"},
+    {answer_code::UnknownName, "unknown_name"},
     {answer_code::Malformed, "malformed"},
     {answer_code::Denied, "denied"},
     {answer_code::NoDatabase, "no_database"},
--- a/packages/session/src/transaction.cpp
+++ b/packages/session/src/transaction.cpp
@@ -72,7 +72,8 @@
 /// outside of transactions are run and settled in one way.
 placement takePlacement(open_transaction &Transaction, request &Request) {
   placement Placement;
-  Placement.Link = leased_link(Transaction.Pool, std::move(Transaction.Link));
+  Placement.Link =
+      checked_out_link(Transaction.Pool, std::move(Transaction.Link));
   Placement.PrimaryLease = Transaction.PrimaryLease;
   Placement.InTransaction = true;
   Placement.TryDeadline = Request.Deadline;
@@ -98,7 +99,7 @@
 }
 
 /// Rolls back on a connection and returns it to its pool, or closes it.
-base::task<void> rollbackOn(leased_link Link) {
+base::task<void> rollbackOn(checked_out_link Link) {
   if (!Link)
     co_return;
   link_statement Statement;
@@ -119,8 +120,8 @@
 base::task<void> rollback(caller_session &Session) {
   if (!Session.Transaction)
     co_return;
-  leased_link Link(Session.Transaction->Pool,
-                   std::move(Session.Transaction->Link));
+  checked_out_link Link(Session.Transaction->Pool,
+                        std::move(Session.Transaction->Link));
   Session.Transaction.reset();
   co_await rollbackOn(std::move(Link));
 }
@@ -237,8 +238,8 @@
   // statement that arrives meanwhile must find a failed transaction, and never
   // run outside of one.
   Session.Transaction->Failed = true;
-  leased_link Link(Session.Transaction->Pool,
-                   std::move(Session.Transaction->Link));
+  checked_out_link Link(Session.Transaction->Pool,
+                        std::move(Session.Transaction->Link));
   co_await rollbackOn(std::move(Link));
 }
 
--- a/packages/session/src/try_statement.cpp
+++ b/packages/session/src/try_statement.cpp
@@ -31,7 +31,7 @@
   if (Exchange.Outcome != exchange_outcome::Answered || !Exchange.Answer.Error)
     return true;
   const answer_code Code = Exchange.Answer.Error->Code;
-  return !isSafeToRetry(Code) && Code != answer_code::Unknown;
+  return !isSafeToRetry(Code) && Code != answer_code::UnknownName;
 }
 
 /// Lets the endpoint's owner run the statement.
@@ -62,7 +62,7 @@
                                 placement &Placement,
                                 const link_statement &Statement) {
   Request.Via.clear();
-  leased_link &Link = Placement.Link;
+  checked_out_link &Link = Placement.Link;
   if (!Link.Grant)
     Link.Grant =
         co_await acquireSlot(Link.Pool, slot_level::InTransaction,
--- a/tests/session/forwarding_codec_test.cpp
+++ b/tests/session/forwarding_codec_test.cpp
@@ -26,7 +26,7 @@
   Request.Statement.After = log_point{3, 70'000};
   Request.Statement.PrimaryLease = primary_lease{"s", "i-1", 12};
   Request.TimeLeft = base::milliseconds(480);
-  Request.Patience = base::milliseconds(30);
+  Request.SlotWait = base::milliseconds(30);
   return Request;
 }
 
@@ -56,7 +56,7 @@
   cr_assert(Statement.After == log_point({3, 70'000}));
   cr_assert(Statement.PrimaryLease == primary_lease({"s", "i-1", 12}));
   cr_assert(Read->TimeLeft == base::milliseconds(480));
-  cr_assert(Read->Patience == base::milliseconds(30));
+  cr_assert(Read->SlotWait == base::milliseconds(30));
 }
 
 Test(forwarding_codec, round_trips_a_reply) {
