--- a/packages/redwinggw/src/platform_primaries.cpp
+++ b/packages/redwinggw/src/platform_primaries.cpp
@@ -15,11 +15,12 @@
 
 } // namespace
 
-bool isInContactWithFleet(platform_instance_state &State) {
+bool mayTrustClaims(platform_instance_state &State) {
   if (!State.Peers)
     return false;
   const control::config_freshness Now =
       State.Peers->configFreshness(base::now());
+  // Logged for each change, also when the contact is lost.
   if (Now != State.Freshness)
     base::logEvent(base::log_level::Info, base::log_part::Peers, "in_touch",
                    {{"was", std::string(configFreshnessName(State.Freshness))},
@@ -57,7 +58,7 @@
   if (Known != nullptr && Known->Claim.Moving)
     return std::nullopt;
   base::endpoint_name Primary = primaryOf(State, Service);
-  if (Primary.empty() || !isInContactWithFleet(State))
+  if (Primary.empty() || !mayTrustClaims(State))
     return std::nullopt;
   return session::primary_lease{std::string(Service), std::move(Primary),
                                 Known == nullptr ? 0 : Known->Claim.Epoch};
@@ -90,6 +91,7 @@
   if (!applyClaim(State.Claims, Claim, base::now()))
     return false;
   announceClaims(State);
+  // A move has begun when Moving is set; the old primary may still be kept.
   base::logEvent(base::log_level::Info, base::log_part::Failover,
                  Claim.Moving ? "primary_given_up" : "primary_agreed",
                  {{"service", Claim.Service},
--- a/packages/session/include/redwinggw/session/statement_forwarding.hpp
+++ b/packages/session/include/redwinggw/session/statement_forwarding.hpp
@@ -41,10 +41,11 @@
   link_statement Statement;
   /// Priority of the caller's route; 0 is the most important.
   unsigned Priority = 0;
-  /// Time for the whole statement, and the part of it for getting a slot and a
-  /// connection.
+  /// Time for the whole statement.
   base::milliseconds TimeLeft{0};
-  base::milliseconds Patience{0};
+  /// The part of TimeLeft in which the owner has to get a slot and a
+  /// connection.
+  base::milliseconds SlotWait{0};
 };
 
 struct forwarding_reply {
